--- a/src/spanshunt/ids.py
+++ b/src/spanshunt/ids.py
@@ -18,8 +18,7 @@
 """A request class within a service, for example ``note``."""
 
 WorkerId = t.NewType("WorkerId", str)
-"""A backend server, written ``host:port`` or, where runs have ids, the id of its
-run."""
+"""A backend server, written ``host:port``, or the id of its run if runs have ids."""
 
 BoxId = t.NewType("BoxId", str)
 """A box that runs one ``spanshuntd``."""
@@ -28,26 +27,26 @@
 """A failure domain."""
 
 RegionId = t.NewType("RegionId", str)
-"""Where some failure domains lie."""
+"""A region that contains one or more failure domains."""
 
 Incarnation = t.NewType("Incarnation", str)
-"""One run of one daemon: the box id and a random suffix. Never reused."""
+"""One run of one daemon, written as the box id and a random suffix; never reused."""
 
 RequestId = t.NewType("RequestId", str)
-"""One caller request, unique over all boxes."""
+"""One request of a caller, unique across all boxes."""
 
 LifeId = t.NewType("LifeId", str)
-"""One life of a worker: its id, and when it started where an id may come again."""
+"""One run of a worker: its id, and its start time if ids are reused."""
 
 Fingerprint = t.NewType("Fingerprint", str)
-"""What requests of one content share: a digest of whose they are, where they go and
-what they ask, in hex."""
+"""Hex digest of a request's organisation, destination and content, by which equal
+requests are recognised."""
 
 SessionId = t.NewType("SessionId", str)
 """A caller's session, unique within its organisation."""
 
 PlanId = t.NewType("PlanId", str)
-"""The digest of a plan; confirming one plan twice gives one id."""
+"""The digest of a plan; confirming the same plan twice gives the same id."""
 
 RolloutId = t.NewType("RolloutId", str)
 """One roll-out: the id of the plan that started it and its version."""
--- a/src/spanshunt/peers/messages.py
+++ b/src/spanshunt/peers/messages.py
@@ -1,7 +1,7 @@
 """Messages between daemons.
 
-Fields that a newer version adds are passed over by an older one; fields are never
-removed or given a new meaning.
+An older version ignores fields that a newer one adds. Fields are never removed and
+their meaning never changes.
 """
 
 import enum
@@ -28,14 +28,15 @@
 
 
 class MemberDigest(msgspec.Struct, frozen=True, array_like=True):
-    """What a box knows of one box.
+    """What one box knows about another box.
 
     Attributes
     ----------
     box, domain, address, incarnation, beat, offset, stopping
         As in :class:`~spanshunt.tables.members.MemberRow`.
     witness_age : int
-        How long ago an exchange was begun that this box answered, in ms; -1 never.
+        Time since the start of the last exchange that the box answered as a witness, in
+        ms; -1 for never.
     """
 
     box: BoxId
@@ -49,18 +50,18 @@
 
 
 class Suspension(msgspec.Struct, frozen=True, array_like=True):
-    """A version that a box stopped using before the log could say so.
+    """A version that a box stopped using before its withdrawal is on the log.
 
     Attributes
     ----------
     version, rollout : str
         The version and the roll-out whose guard rails were broken.
     stage : int
-        The stage that it was judged in.
+        The stage in which they were broken.
     reason : str
-        For people.
+        Explanation for operators.
     age : int
-        How long ago it was judged, in ms.
+        How long ago the version was suspended, in ms.
     """
 
     version: VersionId
@@ -71,26 +72,26 @@
 
 
 class Exchange(msgspec.Struct, frozen=True):
-    """What a box tells another, in the request and in the answer.
+    """State that a box sends to another one, in the request and in the answer.
 
     Attributes
     ----------
     sender : MemberDigest
-        The box itself.
+        The sending box.
     members : tuple
-        Others that it knows.
+        Other boxes that the sender knows.
     leaving : tuple
-        Workers that evidence says leave.
+        Workers that are leaving, by any evidence.
     evidence : tuple
-        Counts that are news to the other.
+        Counts that the receiver does not have yet.
     usage : tuple
-        What organisations use here.
+        Usage of organisations at the sender.
     suspended : tuple
-        Versions not to be used.
+        Versions that must not be used.
     fresh_age : int
-        How old the sender's configuration may be, in ms; -1 unknown.
+        Maximum age of the sender's configuration, in ms; -1 for unknown.
     witness : bool
-        Whether the sender holds all that any run of it ever said it holds.
+        Whether the sender has every record that any of its runs ever reported to have.
     """
 
     sender: MemberDigest
@@ -109,11 +110,11 @@
     Attributes
     ----------
     told : Exchange
-        What the other box tells.
+        State of the answering box.
     records : tuple
-        Configuration records from the asker's offset on.
+        Configuration records from the caller's offset on.
     snapshot : Snapshot or None
-        Instead, when the records are no longer held.
+        Sent instead of records that are no longer held.
     """
 
     told: Exchange
@@ -122,16 +123,16 @@
 
 
 class CopyBills(msgspec.Struct, frozen=True):
-    """Hold copies of the sender's bills.
+    """Request to hold copies of the sender's bills.
 
     Attributes
     ----------
     owner : str
-        The incarnation whose journal it is.
+        The incarnation that owns the journal.
     entries : tuple
         The bills.
     settled : int
-        All seqs below this one are on the log.
+        All entries with sequence numbers below this one are on the log.
     """
 
     owner: Incarnation
@@ -146,28 +147,28 @@
 
 
 class AskCall(msgspec.Struct, frozen=True):
-    """Ask the holder of a claim how far its call got."""
+    """Request for the state of a keyed call, sent to the holder of its claim."""
 
     request: RequestId
     holder: Incarnation
 
 
 class CallStatus(msgspec.Struct, frozen=True):
-    """Answer to :class:`AskCall`; no state if the holder is another run by now."""
+    """Answer to :class:`AskCall`; without a state if the holder has restarted."""
 
     state: CallState | None = None
     answer: CallAnswer | None = None
 
 
 class Pin(msgspec.Struct, frozen=True):
-    """A session's version, kept at the boxes that the session's hash names.
+    """The pinned version of a session, stored at the boxes that its hash selects.
 
     Attributes
     ----------
     key : str
-        Digest of organisation, session and what was asked for.
+        Digest of the organisation, the session and the requested name.
     version : str
-        The version; empty to ask for it.
+        The version; empty to request it.
     """
 
     key: str
@@ -175,14 +176,14 @@
 
 
 class Gather(msgspec.Struct, frozen=True):
-    """Append a part of a batch: one record of a stream, to be merged with others'."""
+    """Request to append one record of a stream as part of a batch with other boxes'."""
 
     stream: Stream
     record: bytes
 
 
 class GatherState(enum.Enum):
-    """What became of a part."""
+    """Result of appending a part of a batch."""
 
     APPENDED = "appended"
     NOT_DONE = "not_done"
@@ -190,7 +191,7 @@
 
 
 class Gathered(msgspec.Struct, frozen=True):
-    """Answer to :class:`Gather`; the offset is that of the record with the part."""
+    """Answer to :class:`Gather`; `offset` is that of the record with the part."""
 
     state: GatherState
     offset: Offset = Offset(-1)
--- a/src/spanshunt/ports.py
+++ b/src/spanshunt/ports.py
@@ -1,6 +1,7 @@
-"""What the request path needs of the outside: a worker's answer and a caller's reply.
+"""Interfaces of the request path: answers of workers and replies to callers.
 
-The request path knows these types alone; each front and each kind of worker translates.
+The request path depends only on these types; each front end and each kind of worker
+adapts to them.
 """
 
 import typing as t
@@ -21,47 +22,49 @@
 
 
 class BrokenAnswerError(Exception):
-    """A worker's answer that ended before it was whole, or that is not one.
+    """A worker's answer is incomplete or invalid.
 
     Raised while an answer is read; the request path turns it into an outcome.
     """
 
 
 class CutAnswerError(BrokenAnswerError):
-    """An answer whose connection ended before it was whole."""
+    """The connection ended before the answer was complete."""
 
 
 class SilentWorkerError(BrokenAnswerError):
-    """A worker that is silent for too long in the middle of an answer."""
+    """The worker sent nothing for too long in the middle of an answer."""
 
 
 class Call(msgspec.Struct):
-    """One request of a caller, in the product's own terms.
+    """One request of a caller, independent of its protocol.
 
     Attributes
     ----------
     request : str
-        Its id, unique over all tries.
+        Request id, shared by all attempts.
     method, target, host, path : str
-        The HTTP method, path with query as it came, the host asked for, and the path.
+        HTTP method, request target with the query as received, requested host, and path
+        without the query.
     headers : CIMultiDict
-        What travels to the worker with it; nothing that the system sets itself.
+        Headers forwarded to the worker, without those that the system sets itself.
     body : bytes
-        The body, whole.
+        The complete body.
     credential : str
         The caller's credential; empty for none.
     began, deadline : int
-        When it came and when the caller stops waiting, in ms of the monotonic clock.
+        When the request arrived and when the caller stops waiting, in ms of the
+        monotonic clock.
     session : str
         The caller's session; empty for none.
     tokens : RequestTokens
-        Its size in tokens; 0 for plain requests.
+        Size of the request in tokens; 0 for plain requests.
     shared : tuple of PromptPart
-        The parts of its prompt that other requests share, in order.
+        Parts of the prompt that other requests share, in order.
     model : str
-        The model that the caller names; empty where the choice is the system's.
+        The model that the caller names; empty to let the system choose.
     resume_after : int or None
-        The last event that the caller has of an earlier run.
+        Id of the last event that the caller received in an earlier run.
     """
 
     request: RequestId
@@ -82,26 +85,26 @@
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """One send of a call to a worker.
+    """One attempt to send a call to a worker.
 
     Attributes
     ----------
     call : Call
         The request.
     worker : WorkerRow
-        Where to.
+        The worker that the call is sent to.
     model : str
-        The model to name; empty to leave the caller's word.
+        The model to name to the worker; empty to keep the one that the caller named.
     org : str
-        Whose request it is; empty for nobody's.
+        The organisation that owns the request; empty for none.
     urgency : int
-        0 first.
+        Priority at the worker; 0 is the most urgent.
     left_ms : int
-        How long the worker may take, in ms.
+        Time left for the worker to answer, in ms.
     resume_after : int or None
-        The last event that the caller has.
+        Id of the last event that the caller received.
     fresh : bool
-        Whether it must not be sent on a connection that was used before.
+        Whether a new connection must be used for the call.
     """
 
     call: Call
@@ -115,21 +118,21 @@
 
 
 class SendFault(msgspec.Struct, frozen=True):
-    """A send without an answer.
+    """Failure of an attempt that got no answer.
 
     Attributes
     ----------
     unreached : bool
-        Whether it is certain that no byte of the request left.
+        Whether it is certain that no byte of the request was sent.
     detail : str
-        For people.
+        Description of the failure for operators.
     stale : bool
-        Whether a kept connection broke before any byte of the answer: workers forget
-        idle ones, so this tells nothing of the worker.
+        Whether a reused connection broke before any byte of the answer. Workers close
+        idle connections, so this is no sign of a fault of the worker.
     silent : bool
-        Whether the worker took the request and said nothing for too long.
+        Whether the worker accepted the request and then sent nothing for too long.
     refused : bool
-        Whether nothing listens at the worker's address.
+        Whether the connection to the worker's address was refused.
     """
 
     unreached: bool
@@ -140,26 +143,26 @@
 
 
 class Answer(t.Protocol):
-    """The head of a worker's answer, and its body to be read.
+    """The head of a worker's answer, and access to its body.
 
     Attributes
     ----------
     status : int
-        Its HTTP status.
+        HTTP status.
     headers : CIMultiDict
-        What travels back to the caller.
+        Headers forwarded to the caller.
     not_run : bool
-        Whether the worker says that it has not run the request.
+        Whether the worker states that it did not run the request.
     replaced : bool
-        Whether another worker has this address now.
+        Whether another worker uses this address now.
     flaw : str
-        What makes it no answer to this request; empty if it is one.
+        Why this is not a valid answer to the request; empty if it is valid.
     confidence : float or None
-        How sure the model is, in 0 to 1.
+        Confidence of the model in its answer, in 0 to 1.
     load : Load or None
-        What the worker says of its load.
+        Load that the worker reports.
     notice : Notice
-        What else it says of itself.
+        Other notices of the worker about itself.
     """
 
     status: int
@@ -172,46 +175,46 @@
     notice: Notice
 
     async def read(self) -> bytes:
-        """Return the whole body, or raise ``BrokenAnswerError``."""
+        """Return the complete body, or raise ``BrokenAnswerError``."""
 
     async def next_block(self) -> bytes:
-        """Return the next bytes, empty at the end, or raise ``BrokenAnswerError``."""
+        """Return the next bytes (empty at the end) or raise ``BrokenAnswerError``."""
 
     def close(self) -> None:
-        """Let go of it; one that is not read to its end is cut off at the worker."""
+        """Release the answer, cancelling it at the worker if it is not fully read."""
 
 
 class Reply(t.Protocol):
-    """The way back to the caller.
+    """The reply to the caller.
 
     Attributes
     ----------
     begun : bool
-        Whether the caller has any byte of it.
+        Whether any byte of the reply was sent to the caller.
     """
 
     begun: bool
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Give a refusal of the system's own."""
+        """Send a refusal by the system itself."""
 
     async def whole(self, status: int, headers: CIMultiDict[str], body: bytes) -> None:
-        """Give a worker's whole answer."""
+        """Send a worker's complete answer."""
 
     async def begin(self, status: int, headers: CIMultiDict[str]) -> None:
-        """Give the head of a stream."""
+        """Send the head of a stream."""
 
     async def write(self, block: bytes) -> None:
-        """Give more of a stream."""
+        """Send the next bytes of a stream."""
 
     async def end(self) -> None:
         """End a stream as complete."""
 
     async def break_off(self, refusal: Refusal) -> None:
-        """End a stream that can't be finished so that it can't look complete."""
+        """End an unfinished stream in a way that the caller sees it is incomplete."""
 
     def abort(self) -> None:
-        """End the connection, as nothing can be told to the caller any more."""
+        """Close the connection without any further message to the caller."""
 
 
 Send = t.Callable[[Dispatch], t.Awaitable[Result[Answer, SendFault]]]
--- a/src/spanshunt/records.py
+++ b/src/spanshunt/records.py
@@ -1,7 +1,7 @@
-"""Records of the platform's log, one tagged type each.
+"""Records of the platform's log, one tagged type for each kind.
 
-A record of a kind that this version does not know is skipped and counted; it neither
-stops nor forks the fold, since every box of this version skips the same ones.
+A record of an unknown kind is skipped and counted. It neither stops the fold nor makes
+boxes diverge, since every box of this version skips the same records.
 """
 
 import enum
@@ -29,7 +29,7 @@
 
 
 class Stream(enum.Enum):
-    """The streams that the program keeps on the log."""
+    """The program's streams on the log."""
 
     CONFIG = "config"
     BILLS = "bills"
@@ -37,7 +37,7 @@
 
 
 class Verdict(enum.Enum):
-    """What a roll-out step does."""
+    """The decision of a roll-out step."""
 
     ADVANCE = "advance"
     PULL_BACK = "pull_back"
@@ -54,10 +54,10 @@
 
 
 class RolloutStep(msgspec.Struct, frozen=True, tag="rollout_step"):
-    """A roll-out moves on, or back, inside its guard rails.
+    """A roll-out advances or is pulled back within its guard rails.
 
-    It takes effect only when the roll-out is still in ``from_stage``, so that a step
-    made twice, by whichever boxes, is made once.
+    The step takes effect only while the roll-out is in ``from_stage``, so duplicates of
+    a step from any boxes have no further effect.
     """
 
     rollout: RolloutId
@@ -69,7 +69,7 @@
 
 
 class Lease(msgspec.Struct, frozen=True, tag="lease"):
-    """A box asks for a duty, or for more time with it."""
+    """A box requests or renews the lease of a duty."""
 
     duty: str
     holder: Incarnation
@@ -78,21 +78,21 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, tag="snapshot"):
-    """The configuration as folded up to, not including, ``config.next_offset``."""
+    """The configuration folded up to, but not including, ``config.next_offset``."""
 
     config: Config
     hash: str
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What one attempt of a request used.
+    """Resources used by one attempt of a request.
 
     Attributes
     ----------
     version : str
-        The version that ran, empty for a plain service.
+        The version that ran; empty for a plain service.
     prompt_tokens, output_tokens : int
-        Tokens read and generated.
+        Tokens of the prompt and of the generated output.
     cost : int
         The price, in millionths of the currency.
     """
@@ -109,11 +109,11 @@
     Attributes
     ----------
     seq : int
-        Its number in the journal of the box's incarnation, from 0 without gaps.
+        Sequence number in the journal of the box's incarnation, from 0 without gaps.
     request, org, service : str
-        What is billed, and to whom.
+        The billed request, the organisation that pays, and the service.
     at : int
-        Wall clock of the end of the answer, in ms.
+        Wall-clock time of the end of the answer, in ms.
     usage : tuple of Usage
         One item for each attempt that ran.
     """
@@ -127,7 +127,7 @@
 
     @property
     def cost(self) -> Micros:
-        """The sum over the attempts, in millionths of the currency."""
+        """Total cost of the attempts, in millionths of the currency."""
         return Micros(sum(item.cost for item in self.usage))
 
 
@@ -139,13 +139,13 @@
 
 
 class Bills(msgspec.Struct, frozen=True, tag="bills"):
-    """Journal entries; each (incarnation, seq) counts once whoever appends it."""
+    """Journal entries; each (incarnation, seq) counts once, whichever box adds it."""
 
     parts: tuple[JournalPart, ...]
 
 
 class BillsSnapshot(msgspec.Struct, frozen=True, tag="bills_snapshot"):
-    """The bills as folded up to, not including, ``fold.next_offset``."""
+    """The bills folded up to, but not including, ``fold.next_offset``."""
 
     fold: BillFold
     hash: str
@@ -157,13 +157,13 @@
     Attributes
     ----------
     key : str
-        Digest of organisation, service and the caller's key.
+        Digest of the organisation, the service and the caller's key.
     holder : str
-        The incarnation that claims.
+        The incarnation that claims the key.
     request : str
-        The request that would run.
+        The request that is to run.
     at : int
-        Wall clock of the claim, in ms.
+        Wall-clock time of the claim, in ms.
     """
 
     key: str
@@ -173,14 +173,14 @@
 
 
 class Release(msgspec.Struct, frozen=True):
-    """A holder gives up a claim that it has not run and never will."""
+    """A holder releases a claim whose call it did not run and never will."""
 
     key: str
     request: RequestId
 
 
 class Claims(msgspec.Struct, frozen=True, tag="claims"):
-    """A batch of claims; for each key the first in log order wins.
+    """A batch of claims; the first claim of a key in log order wins.
 
     Releases are folded before the claims of the same record.
     """
@@ -196,22 +196,23 @@
 
 
 class UnknownRecord(msgspec.Struct, frozen=True):
-    """A record that this version can't read, and why."""
+    """A record that this version cannot decode, and the reason."""
 
     problem: str
 
 
 class LogRecord(msgspec.Struct, frozen=True):
-    """A record as it stands on the log.
+    """A record as stored on the log.
 
     Attributes
     ----------
     offset : int
-        Its place in the stream.
+        Offset of the record in its stream.
     at : int
-        The log's own wall clock at the append, in ms; it never goes back in a stream.
+        The log's own wall-clock time at the append, in ms; it never decreases in a
+        stream.
     data : bytes
-        The record's JSON.
+        The record, encoded as JSON.
     """
 
     offset: Offset
@@ -225,7 +226,7 @@
 
 
 def decode_record(data: bytes) -> Result[Record, UnknownRecord]:
-    """Decode a record, or say why this version can't."""
+    """Decode a record, or return why this version cannot decode it."""
     try:
         return Ok(_decoder.decode(data))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as exc:
--- a/src/spanshunt/tables/__init__.py
+++ b/src/spanshunt/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Tables: the state of the program as rows. Nothing here does I/O."""
+"""Tables that hold the state of the program as rows, without any I/O."""
--- a/src/spanshunt/tables/billing.py
+++ b/src/spanshunt/tables/billing.py
@@ -1,4 +1,4 @@
-"""The fold of the bills stream: what was counted, and what is owed."""
+"""State folded from the bills stream: entries counted and amounts owed."""
 
 import msgspec
 
@@ -11,16 +11,16 @@
 
 
 class Coverage(msgspec.Struct):
-    """Which seqs of one incarnation were counted.
+    """Sequence numbers of one incarnation that have been counted.
 
     Attributes
     ----------
     upto : int
-        All below this one.
+        All sequence numbers below this one have been counted.
     extra : set of int
-        And these.
+        Sequence numbers at or above ``upto`` that have been counted as well.
     latest : int
-        Wall clock of the newest bill seen, in ms.
+        Wall-clock time of the newest bill seen, in ms.
     """
 
     upto: int = 0
@@ -28,7 +28,7 @@
     latest: Millis = Millis(0)
 
     def add(self, seq: int) -> bool:
-        """Count `seq`; return False if it was counted before."""
+        """Mark `seq` as counted; return False if it was counted before."""
         if seq < self.upto or seq in self.extra:
             return False
         self.extra.add(seq)
@@ -39,7 +39,7 @@
 
 
 class OrgTotal(msgspec.Struct):
-    """What one organisation owes for one service."""
+    """Totals that one organisation owes for one service."""
 
     requests: int = 0
     prompt_tokens: int = 0
@@ -48,18 +48,18 @@
 
 
 class BillFold(msgspec.Struct):
-    """The fold of the bills stream.
+    """State folded from the bills stream.
 
     Attributes
     ----------
     covered : dict
-        What was counted, by incarnation.
+        Counted sequence numbers by incarnation.
     totals : dict
-        By organisation, then service.
+        Totals by organisation, then by service.
     doubled : int
-        Entries that came again and were not counted again.
+        Duplicate entries, which were not counted again.
     next_offset : int
-        The first record of the bills stream that is not folded.
+        Offset of the first record of the bills stream that is not folded yet.
     """
 
     covered: dict[Incarnation, Coverage] = {}
--- a/src/spanshunt/tables/catalog.py
+++ b/src/spanshunt/tables/catalog.py
@@ -1,7 +1,7 @@
-"""The catalog: routes, services and organisations as one version of it declares them.
+"""The catalog: routes, services and organisations of one catalog version.
 
-A catalog is replaced whole. Rows are never changed in place, so a request that holds a
-row keeps seeing the version that it was admitted under.
+A catalog is replaced as a whole and rows are never changed in place, so a request that
+holds a row keeps seeing the version that it was admitted under.
 """
 
 import enum
@@ -16,11 +16,11 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be done twice.
+    """Whether a request may run more than once.
 
-    ``REPEATABLE`` requests may run more than once; ``ONCE`` at most once; ``STREAM``
-    answers are series of events, repeatable only where the route says that they can be
-    resumed.
+    ``REPEATABLE`` requests may run more than once and ``ONCE`` requests at most once.
+    ``STREAM`` requests are answered with a series of events and may be repeated only
+    where the route declares that the stream can be resumed.
     """
 
     REPEATABLE = "repeatable"
@@ -29,7 +29,7 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """One service's part of a route's traffic; weights are relative."""
+    """The relative weight of one service in a route's traffic."""
 
     service: ServiceId
     weight: float
@@ -41,29 +41,30 @@
     Attributes
     ----------
     name : str
-        For logs.
+        Name of the route in log lines.
     host, prefix : str
-        What a request must name to take this route; the prefix ends with a slash.
+        Host and path prefix of the requests that take this route; the prefix ends with
+        a slash.
     kind : RequestKind
-        What may be repeated.
+        Whether a request of this route may run more than once.
     resumable : bool
-        Whether a stream may go on at another worker after its last whole event.
+        Whether another worker may continue a stream after its last complete event.
     shares : tuple of Share
         The services that answer it.
     models : tuple of str
-        Models that may answer where the caller leaves the choice, the smallest first.
+        Models that may answer a request that names no model, smallest first.
     most_attempts : int
-        Workers that one request may run on.
+        Maximum number of workers that one request may run on.
     timeout_ms : int
-        Longest that a request is held, in ms.
+        Longest time that a request may take, in ms.
     aim_ms : int
-        Time within which the answer (a stream's first event) is worth most, in ms.
+        Target time to the answer, or to a stream's first event, in ms.
     gap_aim_ms : int
-        Longest pause between events at which a stream is still in time; 0 for none.
+        Target for the longest pause between events of a stream, in ms; 0 for none.
     rank : int
-        Urgency, 0 first.
+        Priority of the requests; 0 is the most urgent.
     anonymous : bool
-        Whether no credential is needed.
+        Whether requests need no credential.
     regions : frozenset of str
         Regions whose workers may answer it; empty for any.
     """
@@ -99,14 +100,14 @@
     name : str
         Its name.
     costs : dict
-        Price of 1,000 generated tokens by model; read tokens count a quarter. Empty for
-        plain services.
+        Price of 1,000 generated tokens by model; a prompt token costs a quarter of a
+        generated one. Empty for plain services.
     memory_tokens : int
-        Tokens that one of its engines keeps; 0 where that is unknown.
+        Capacity of the key-value cache of one engine, in tokens; 0 if unknown.
     cold_ms : int
-        How long one of its workers is slow after its start, in ms; 0 for not at all.
+        How long a worker is slow after its start, in ms; 0 for not at all.
     cold_per_s : float
-        Requests a second that a worker bears meanwhile, of all boxes; 0 for unknown.
+        Requests a second that a cold worker can take from all boxes; 0 for unknown.
     """
 
     name: ServiceId
@@ -124,9 +125,9 @@
     name : str
         Its name.
     credentials : tuple of str
-        What its callers may show.
+        Credentials that its callers may present.
     rank : int or None
-        The urgency of its requests, where that is its own.
+        Priority of its requests; None to use the route's.
     regions : frozenset of str
         Regions whose workers may answer it; empty for any.
     """
@@ -138,7 +139,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send: sizes in bytes, times in ms."""
+    """Limits for what a caller may send: sizes in bytes, times in ms."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -152,15 +153,15 @@
     Attributes
     ----------
     version : int
-        Rises with each change, in uneven steps.
+        Version number; it rises with each change, in steps of any size.
     routes, services, orgs, limits
-        What it declares.
+        What operators declare.
     by_host : dict
-        Routes by host, the longest prefix first; filled in by :func:`index`.
+        Routes by host, longest prefix first; filled in by :func:`index`.
     by_credential : dict
-        Organisations by credential; likewise.
+        Organisations by credential; filled in by :func:`index`.
     most_urgent : dict
-        The rank of each service's most urgent route; likewise.
+        Rank of each service's most urgent route; filled in by :func:`index`.
     """
 
     version: int
@@ -178,8 +179,8 @@
     for route in sorted(catalog.routes, key=lambda row: -len(row.prefix)):
         catalog.by_host.setdefault(route.host, []).append(route)
         for share in route.shares:
-            known = catalog.most_urgent.get(share.service, route.rank)
-            catalog.most_urgent[share.service] = min(known, route.rank)
+            best_rank = catalog.most_urgent.get(share.service, route.rank)
+            catalog.most_urgent[share.service] = min(best_rank, route.rank)
     for org in catalog.orgs:
         for credential in org.credentials:
             catalog.by_credential[credential] = org
@@ -187,7 +188,7 @@
 
 
 def find_route(catalog: Catalog, host: str, path: str) -> RouteRow | None:
-    """Return the route with the longest prefix that begins `path`, if any."""
+    """Return the route with the longest prefix of `path`, or None."""
     for route in catalog.by_host.get(host, ()):
         if path.startswith(route.prefix):
             return route
--- a/src/spanshunt/tables/claims.py
+++ b/src/spanshunt/tables/claims.py
@@ -1,4 +1,4 @@
-"""Claims of keys of calls that may run once."""
+"""Claims of idempotency keys for calls that may run at most once."""
 
 import enum
 
@@ -11,7 +11,7 @@
 
 
 class CallState(enum.Enum):
-    """How far this box got with a keyed call that it claimed."""
+    """Progress of a keyed call that this box has claimed."""
 
     CLAIMED = "claimed"
     SENT = "sent"
@@ -20,14 +20,14 @@
 
 
 class WonClaim(msgspec.Struct, frozen=True):
-    """A claim that won its key, and the log's wall clock at that, in ms."""
+    """The claim that won a key, and the log's wall-clock time of it, in ms."""
 
     claim: Claim
     at: Millis
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
-    """An answer of a plain service, kept for repeats of a keyed call."""
+    """The answer of a plain service, stored for repeats of a keyed call."""
 
     status: int
     content_type: str
@@ -35,7 +35,7 @@
 
 
 class OwnCall(msgspec.Struct):
-    """A keyed call that this box claimed."""
+    """A keyed call that this box has claimed."""
 
     key: str
     state: CallState = CallState.CLAIMED
@@ -43,18 +43,18 @@
 
 
 class ClaimTable(msgspec.Struct):
-    """The fold of the claims stream, and this box's own calls.
+    """State folded from the claims stream, and this box's own calls.
 
     Attributes
     ----------
     next_offset : int
-        The first record not folded.
+        Offset of the first record that is not folded yet.
     started : bool
-        Whether the fold began; it begins at the first record that the log holds.
+        Whether folding has started; it starts at the first record that the log holds.
     won : dict
-        The claim that won, by key, in the order of the log.
+        The winning claim by key, in log order.
     own : dict
-        This box's calls, by request.
+        This box's keyed calls by request.
     """
 
     next_offset: Offset = Offset(0)
--- a/src/spanshunt/tables/config.py
+++ b/src/spanshunt/tables/config.py
@@ -1,4 +1,4 @@
-"""The configuration in force: rows that only the fold of the log changes."""
+"""The configuration in force; only folding the log changes its rows."""
 
 import enum
 import typing as t
@@ -18,7 +18,7 @@
 from ..ids import VersionId
 
 Share = t.Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
-"""A part of a whole, from 0 to 1."""
+"""A fraction from 0 to 1."""
 
 Name = t.Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9._-]*$", max_length=100)]
 """A name: lower case letters, digits, dot, dash and underscore."""
@@ -33,14 +33,14 @@
 
 
 class ServiceKind(enum.Enum):
-    """What answers a service's requests."""
+    """Kind of backend that answers a service's requests."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class VersionState(enum.Enum):
-    """Where a version is in its life."""
+    """Lifecycle state of a version."""
 
     DECLARED = "declared"
     ENTERING = "entering"
@@ -49,7 +49,7 @@
 
 
 class RolloutState(enum.Enum):
-    """Where a roll-out is in its life."""
+    """Lifecycle state of a roll-out."""
 
     RUNNING = "running"
     DONE = "done"
@@ -62,11 +62,12 @@
     Attributes
     ----------
     name : str
-        The class.
+        Name of the class.
     target : float
-        The share of answers that must be good, from 0 to 1.
+        Required share of good answers, from 0 to 1.
     escalate : bool
-        Whether an answer may be held back whole and asked again of a dearer version.
+        Whether a complete answer may be withheld and requested again from a more
+        expensive version.
     """
 
     name: Name
@@ -80,13 +81,13 @@
     Attributes
     ----------
     name : str
-        The service.
+        Name of the service.
     kind : ServiceKind
-        What answers it.
+        Kind of backend that answers its requests.
     classes : tuple of RequestClass
         Request classes of a model service; the first one is the default.
     repeatable : tuple of str
-        HTTP methods of a plain service whose calls may be sent twice.
+        HTTP methods of a plain service whose calls may be sent more than once.
     call_price : int
         Price of one call of a plain service, in millionths of the currency.
     """
@@ -98,7 +99,7 @@
     call_price: Micros = Micros(0)
 
     def request_class(self, name: ClassId) -> RequestClass | None:
-        """Return the class called `name`, the default one for an empty name."""
+        """Return the class called `name`, or the default class for an empty name."""
         if not name and self.classes:
             return self.classes[0]
         return next((row for row in self.classes if row.name == name), None)
@@ -112,14 +113,15 @@
     name : str
         ``model@version``.
     service : str
-        The service that it can answer.
+        The service whose requests it can answer.
     prompt_price, output_price : int
-        Price of 1,000 tokens read and generated, in millionths of the currency.
+        Price of 1,000 prompt tokens and of 1,000 generated tokens, in millionths of the
+        currency.
     state : VersionState
-        Where it is in its life.
+        Lifecycle state.
     since : int
-        The offset at which it became active, -1 before; of two active versions of one
-        model the later one takes the new work.
+        Log offset at which it became active; -1 before. Of two active versions of one
+        model, the one activated later gets the new requests.
     """
 
     name: VersionName
@@ -136,20 +138,20 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an organisation may use in all, over all boxes.
+    """Limits of an organisation, summed over all boxes.
 
     Attributes
     ----------
     rate : float
         Requests a second.
     burst : float
-        Requests at once above the rate.
+        Requests that may arrive at once above the rate.
     concurrency : int
-        Requests under way at once.
+        Concurrent requests.
     budget : int or None
-        Money a day, in millionths of the currency; None is no bound.
+        Spending limit a day, in millionths of the currency; None for no limit.
     weight : float
-        Its share when the service is short of capacity, against the others'.
+        Relative weight against other organisations when a service is short of capacity.
     """
 
     rate: t.Annotated[float, msgspec.Meta(gt=0)] = 100.0
@@ -165,16 +167,16 @@
     Attributes
     ----------
     name : str
-        The organisation.
+        Name of the organisation.
     credentials : tuple of str
         SHA-256 hashes of its credentials.
     allowed : tuple of str
-        What it may use: services, models or versions (``model@version``). A model
-        service needs both the service or a model or version of it.
+        Services, models or versions (``model@version``) that it may use. For a model
+        service, a model or a version of it must be listed.
     limits : Limits
-        What it may use in all.
+        Limits over all boxes.
     targets : dict
-        Its own quality targets by ``service/class``, over the service's.
+        Quality targets by ``service/class``; they override those of the service.
     """
 
     name: Name
@@ -184,37 +186,40 @@
     targets: dict[str, Share] = {}
 
     def allows_version(self, version: VersionRow) -> bool:
-        """Tell whether requests may run on `version`."""
+        """Return whether requests of this organisation may run on `version`."""
         return version.name in self.allowed or version.model in self.allowed
 
     def allows_service(self, service: ServiceId) -> bool:
-        """Tell whether requests may go to the plain service `service`."""
+        """Return whether requests may go to the plain service `service`."""
         return service in self.allowed
 
 
 class GuardRails(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a roll-out does by itself once it is confirmed.
+    """Limits within which a confirmed roll-out proceeds automatically.
 
     Attributes
     ----------
     stages : tuple of float
-        Shares of new work, rising; the last one is 1.
+        Increasing shares of new requests; the last share is 1.
     stage_ms : int
-        The least time in a stage.
+        Minimum time in a stage, in ms.
     stage_ratings : int
-        The least number of ratings of the new version in a stage.
+        Minimum number of ratings of the new version in a stage.
     good_floor : float
-        Pull back once the share of good answers is shown to be under this.
+        The roll-out is pulled back once the share of good answers is significantly
+        below this.
     class_floors : dict
         Floors by request class, where one differs from ``good_floor``.
     error_ceiling : float
-        Pull back once the share of failed requests is shown to be over this.
+        The roll-out is pulled back once the share of failed requests is significantly
+        above this.
     slow_ceiling : float
-        Pull back once the share of slow first tokens is shown to be over this.
+        The roll-out is pulled back once the share of slow first tokens is significantly
+        above this.
     slow_ms : int
-        A first token later than this is slow.
+        A first token that takes longer than this counts as slow, in ms.
     alpha : float
-        The chance that a sound version is pulled back, over the whole roll-out.
+        Probability that a good version is pulled back, over the whole roll-out.
     """
 
     stages: tuple[Share, ...] = (0.01, 0.05, 0.25, 1.0)
@@ -234,19 +239,19 @@
     Attributes
     ----------
     name : str
-        Its id.
+        Id of the roll-out.
     version : str
-        The version that enters.
+        The version that enters service.
     guards : GuardRails
-        What it does by itself.
+        Limits within which it proceeds automatically.
     stage : int
         Index into the stages.
     stage_since : int
-        The wall clock at which the stage began, in ms, from the log's record.
+        Wall-clock time at which the stage began, in ms, taken from the log record.
     state : RolloutState
-        Where it is in its life.
+        Lifecycle state.
     reason : str
-        Why it ended.
+        Why the roll-out ended.
     """
 
     name: RolloutId
@@ -259,7 +264,7 @@
 
     @property
     def share(self) -> float:
-        """The share of new work that the version may take."""
+        """The share of new requests that the version may take."""
         if self.state is RolloutState.PULLED_BACK:
             return 0.0
         if self.state is RolloutState.DONE:
@@ -268,18 +273,18 @@
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """A duty that one box holds at a time.
+    """The lease of a duty that one box holds at a time.
 
     Attributes
     ----------
     duty : str
-        The duty.
+        Name of the duty.
     holder : str
-        The incarnation that holds it.
+        The incarnation that holds the lease.
     token : int
-        The offset of the record that gave it: the fencing token.
+        Fencing token: the offset of the record that granted the lease.
     until : int
-        The end by the log's own clock, in ms.
+        Expiry of the lease by the log's own clock, in ms.
     """
 
     duty: str
@@ -289,7 +294,7 @@
 
 
 class HistoryRow(msgspec.Struct, frozen=True):
-    """One confirmed plan or automatic step, for the operators' audit trail."""
+    """A confirmed plan or an automatic step, as an entry of the audit trail."""
 
     offset: Offset
     at: Millis
@@ -299,10 +304,10 @@
 
 
 class Config(msgspec.Struct):
-    """All of the configuration, as folded up to ``next_offset`` - 1.
+    """The whole configuration, folded up to ``next_offset`` - 1.
 
-    The fold replaces rows and never changes one in place, so a reader may keep a row
-    across an ``await`` and must look it up again before it acts on it.
+    Folding replaces rows and never changes a row in place. A reader may therefore keep
+    a row across an ``await``, and must look it up again before acting on it.
     """
 
     next_offset: Offset = Offset(0)
@@ -317,11 +322,11 @@
     history: list[HistoryRow] = []
 
     def revision(self, key: ObjectKey) -> Offset:
-        """Return the offset that last changed `key`, -1 if it was never there."""
+        """Return the offset of the last change to `key`, or -1 for an unknown key."""
         return self.revisions.get(key, Offset(-1))
 
     def versions_of(self, service: ServiceId) -> list[VersionRow]:
-        """Return the versions that can answer `service`, cheapest first."""
+        """Return the versions that can answer `service`, the cheapest first."""
         rows = [row for row in self.versions.values() if row.service == service]
         return sorted(rows, key=lambda row: (row.output_price, row.name))
 
--- a/src/spanshunt/tables/engines.py
+++ b/src/spanshunt/tables/engines.py
@@ -1,4 +1,4 @@
-"""Rows of what is known of model engines: their speed, and which prompts they keep."""
+"""Rows about model engines: their speed and the prompt parts that they cache."""
 
 import typing as t
 
@@ -10,23 +10,23 @@
 
 
 class PromptPart(t.NamedTuple):
-    """A part of a prompt that other requests share: its name and its tokens."""
+    """A prompt part that requests share: its name and its number of tokens."""
 
     name: str
     tokens: int
 
 
 class EngineSpeed(msgspec.Struct):
-    """How fast the engines of a service run a model.
+    """How fast the engines of a service process prompts with a model.
 
     Attributes
     ----------
     read_ms : float
-        Time to read a prompt token that is not kept, in ms.
+        Prefill time for one prompt token that is not cached, in ms.
     base_ms : float
-        Time to the first event beside that, in ms.
+        Time to the first event without prefill, in ms.
     answers : int
-        Answers that this rests on.
+        Number of answers that the estimate is based on.
     """
 
     read_ms: float
@@ -35,14 +35,14 @@
 
 
 class WritePace(msgspec.Struct):
-    """How fast the engines of a service write with a model.
+    """How fast the engines of a service generate tokens with a model.
 
     Attributes
     ----------
     gap_ms : float
-        Usual time from event to event, in ms.
+        Usual time between two events, in ms.
     answers : int
-        Answers that this rests on.
+        Number of answers that the estimate is based on.
     """
 
     gap_ms: float
@@ -50,18 +50,18 @@
 
 
 class PromptRead(msgspec.Struct, frozen=True):
-    """A prompt that this box sent to an engine which was not known to keep it.
+    """A prompt that this box sent to an engine not known to have it cached.
 
     Attributes
     ----------
     worker : str
-        The engine.
+        The worker that runs the engine.
     model : str
-        The model that reads it.
+        The model that processes the prompt.
     shared : tuple of PromptPart
-        Its shared parts, in order.
+        Shared parts of the prompt, in order.
     at : int
-        When it was sent, in ms.
+        When the prompt was sent, in ms.
     """
 
     worker: WorkerId
@@ -71,14 +71,15 @@
 
 
 class KeptParts(msgspec.Struct):
-    """Prompt parts that an engine probably keeps, the longest unused first.
+    """Prompt parts that an engine probably has cached, least recently used first.
 
     Attributes
     ----------
     parts : dict
-        Tokens by part, as :func:`~spanshunt.systems.keeping.part_key` names it.
+        Number of tokens by part; keys are built by
+        :func:`~spanshunt.systems.keeping.part_key`.
     tokens : int
-        The sum of them.
+        Total number of tokens of the parts.
     """
 
     parts: dict[str, int] = {}
--- a/src/spanshunt/tables/evidence.py
+++ b/src/spanshunt/tables/evidence.py
@@ -1,7 +1,7 @@
-"""Evidence of what versions are worth: counts that boxes pool.
+"""Evidence of the quality of versions: counts that boxes pool.
 
-Counts only grow and each origin counts its own, so that merging is taking the larger
-one, in any order, any number of times.
+Each origin counts its own attempts and counts only grow. Boxes therefore merge by
+taking the larger count, in any order and any number of times.
 """
 
 import typing as t
@@ -13,14 +13,14 @@
 from ..ids import VersionId
 
 EPOCH_MS = 60_000
-"""Evidence is counted by epochs of this length, in ms of the wall clock."""
+"""Length of the epochs in which evidence is counted, in ms of the wall clock."""
 
 EPOCHS = 60
-"""Epochs kept: one hour."""
+"""Number of epochs kept, which is one hour."""
 
 
 class Cell(t.NamedTuple):
-    """Where a count belongs."""
+    """The version, request class and organisation that a count belongs to."""
 
     version: VersionId
     request_class: ClassId
@@ -28,20 +28,20 @@
 
 
 class Counts(msgspec.Struct, array_like=True):
-    """What was seen of a version.
+    """Observed results of a version.
 
     Attributes
     ----------
     runs : int
-        Attempts that ended, well or not.
+        Attempts that ended, successful or not.
     errors : int
-        Attempts that failed by the engine's fault.
+        Attempts that failed because of the engine.
     slow : int
-        Attempts whose first token was late.
+        Attempts whose first token came late.
     rated, good : int
-        Answers rated, and those of them rated good.
+        Rated answers, and the number of them rated good.
     prompt_tokens, output_tokens : int
-        Tokens read and generated.
+        Tokens of prompts and of generated output.
     """
 
     runs: int = 0
@@ -63,7 +63,7 @@
         self.output_tokens += other.output_tokens
 
     def subtract(self, other: "Counts") -> None:
-        """Take `other` from these counts."""
+        """Subtract `other` from these counts."""
         self.runs -= other.runs
         self.errors -= other.errors
         self.slow -= other.slow
@@ -73,7 +73,7 @@
         self.output_tokens -= other.output_tokens
 
     def covers(self, other: "Counts") -> bool:
-        """Tell whether these counts are at least as far as `other`."""
+        """Return whether these counts are at least as recent as `other`."""
         return self.runs >= other.runs and self.rated >= other.rated
 
 
@@ -83,13 +83,13 @@
     Attributes
     ----------
     origin : str
-        The incarnation that counted.
+        The incarnation that counts.
     epoch : int
-        Wall clock divided by :data:`EPOCH_MS`.
+        Wall-clock time divided by :data:`EPOCH_MS`.
     version, request_class, org : str
-        The cell.
+        The cell that the counts belong to.
     counts : Counts
-        The counts so far.
+        The counts up to now.
     """
 
     origin: str
@@ -101,12 +101,12 @@
 
     @property
     def cell(self) -> Cell:
-        """The cell."""
+        """The cell that the counts belong to."""
         return Cell(self.version, self.request_class, self.org)
 
 
 class EvidenceKey(t.NamedTuple):
-    """The key of one row of the evidence table."""
+    """Key of a row of the evidence table."""
 
     origin: str
     epoch: int
@@ -114,16 +114,16 @@
 
 
 class Pool(msgspec.Struct):
-    """Sums over origins and epochs.
+    """Counts summed over origins and epochs.
 
     Attributes
     ----------
     cells : dict
-        By cell.
+        Sums by cell.
     classes : dict
-        By version and class, over organisations.
+        Sums by version and class, over all organisations.
     orgs : dict
-        The organisations with a cell, by version and class.
+        Organisations that have a cell, by version and class.
     """
 
     cells: dict[Cell, Counts] = {}
@@ -132,20 +132,20 @@
 
 
 class Evidence(msgspec.Struct):
-    """All evidence known here.
+    """All evidence known to this box.
 
     Attributes
     ----------
     rows : dict
-        The counts.
+        Counts by key.
     pool : Pool
-        Their sums, kept up to date with each change.
+        Sums of the counts, updated with each change.
     by_version : dict
-        The keys of the rows, by version.
+        Keys of the rows by version.
     changed : dict
-        Rows in the order of their last change, with a number that rises with each.
+        Number of the last change by row, in ascending order.
     ticket : int
-        The number of the next change.
+        Number of the next change.
     """
 
     rows: dict[EvidenceKey, Counts] = {}
--- a/src/spanshunt/tables/fleet.py
+++ b/src/spanshunt/tables/fleet.py
@@ -1,4 +1,4 @@
-"""All tables of a box that routes for the platform's catalog."""
+"""All tables of a box that routes requests by the platform's catalog."""
 
 import collections
 
@@ -28,31 +28,32 @@
 
 
 class PeerRow(msgspec.Struct):
-    """Another box.
+    """A peer: another box that this one exchanges state with.
 
     Attributes
     ----------
     box, address, domain : str
-        Its name, where its peer protocol listens, and its failure domain.
+        Name of the peer, address of its peer protocol, and its failure domain.
     incarnation : str
-        Its run when it was last heard.
+        The run of the peer's daemon at its last message.
     heard : int
-        When it last answered or called, in ms; -1 for never.
+        When the peer last answered or called, in ms; -1 for never.
     asked : int
-        When it was last called, in ms.
+        When this box last called the peer, in ms.
     failures : int
-        Calls to it that failed since it last answered.
+        Failed calls to the peer since it last answered.
     served : bool
-        Whether the store serves it, by its own word.
+        Whether the store serves the peer, as the peer reports.
     catalog_version : int
-        The newest catalog that it knows, by its own word; -1 for none.
+        The newest catalog version that the peer reports; -1 for none.
     clock_ahead : int or None
-        How far its clock is ahead of this box's at most, in ms, by its last answer.
+        Upper bound of how far the peer's clock is ahead of this box's, in ms, from its
+        last answer.
     settings : ToldSettings
-        Which settings it has in force, by its own word.
+        Settings in force at the peer, as the peer reports them.
     followers : tuple of str
-        Who follows the operators' records, by its word as the first of its failure
-        domain; empty if it is not.
+        Boxes that follow the operators' records, reported by the first box of each
+        failure domain; empty if the peer is not the first.
     """
 
     box: BoxId
@@ -70,7 +71,7 @@
 
 
 class TrafficSecond(msgspec.Struct):
-    """Requests and arrivals beyond their first in one second of the clock."""
+    """Numbers of requests and of repeated arrivals in one second of the clock."""
 
     number: int
     requests: int = 0
@@ -78,7 +79,7 @@
 
 
 class Traffic(msgspec.Struct):
-    """Requests and repeats of one service in this box's last seconds, oldest first."""
+    """Requests and repeats of one service in recent seconds, oldest first."""
 
     seconds: collections.deque[TrafficSecond] = msgspec.field(
         default_factory=lambda: collections.deque(maxlen=32)
@@ -86,16 +87,16 @@
 
 
 class ModelStats(msgspec.Struct):
-    """What answers told of a model: how likely they were good, a moving mean."""
+    """Moving mean of the confidence that a model's answers report."""
 
     confidence: float = 0.5
     answers: int = 0
 
 
 class FirstTimes(msgspec.Struct):
-    """Usual time to the first byte, in ms, and the prompt that it was for, in tokens.
+    """Usual time to the first byte, in ms, and usual prompt length, in tokens.
 
-    Both are moving means over so many answers.
+    Both are moving means over ``answers`` answers.
     """
 
     first_ms: float = 0.0
@@ -104,16 +105,17 @@
 
 
 class EvacuationRow(msgspec.Struct, frozen=True):
-    """An operator's word on whether a failure domain's workers get requests.
+    """An operator's order whether the workers of a failure domain get requests.
 
     Attributes
     ----------
     domain : str
         The failure domain.
     order : int
-        Its place in the operators' stream; a greater one replaces this.
+        Offset of the order in the operators' stream; an order with a greater offset
+        replaces this one.
     active : bool
-        Whether the domain is emptied now; False once that was taken back.
+        Whether the domain is being evacuated; False once the order was revoked.
     """
 
     domain: DomainId
@@ -122,20 +124,23 @@
 
 
 class DomainOutage(msgspec.Struct):
-    """Workers of a failure domain out of reach since one answered, and when, in ms."""
+    """Workers of a failure domain that became unreachable, and when, in ms.
+
+    Any answer from the domain empties the table.
+    """
 
     unreached: dict[WorkerId, Millis] = {}
 
 
 class ColdBounds(msgspec.Struct, frozen=True):
-    """What a cold worker may get from all boxes: a multiple of what it bears, and more.
+    """Bounds of the requests that a cold worker may get from all boxes.
 
     Attributes
     ----------
     over : float
-        How many times the rate that it bears may come.
+        Allowed multiple of the rate that a cold worker can take.
     slack : float
-        Requests in a second beyond that.
+        Requests a second allowed in addition.
     """
 
     over: float = 1.0
@@ -143,18 +148,18 @@
 
 
 class StoreHealth(msgspec.Struct):
-    """What this box sees of the platform's store.
+    """Health of the platform's store, as this box sees it.
 
     Attributes
     ----------
     failing_since : int
-        When calls began to fail, in ms; -1 while they do not.
+        Since when calls to the store fail, in ms; -1 while they succeed.
     failed_at : int
         When the last call failed, in ms; -1 for never.
     era : int
-        How often it came back from a copy, by its own count; -1 while that is unknown.
+        How often the store was restored from a copy, by its own count; -1 if unknown.
     era_began : int
-        When this box learned of the last return, in ms; -1 for none.
+        When this box learned of the last restore, in ms; -1 for none.
     """
 
     failing_since: Millis = Millis(-1)
@@ -164,16 +169,16 @@
 
 
 class CatalogProof(msgspec.Struct, frozen=True):
-    """What shows that the catalog known was the newest at some time.
+    """Proof that the known catalog was the newest at some time.
 
     Attributes
     ----------
     at : int
-        That time, in ms; -1 for never.
+        The time that the proof is for, in ms; -1 for never.
     end : int
-        Where the operators' stream ended then; -1 for unknown.
+        End of the operators' stream at that time; -1 for unknown.
     source : str
-        The box that read it from the store; empty for none.
+        The box that read the stream from the store; empty for none.
     """
 
     at: Millis = Millis(-1)
@@ -182,12 +187,12 @@
 
 
 class Readings(msgspec.Struct):
-    """A row of readings of the workers' list, by any boxes, without a gap between them.
+    """Time span in which boxes read the workers' list without a gap.
 
     Attributes
     ----------
     since, last : int
-        The first and the newest, in ms; -1 for none.
+        Times of the first and of the newest read, in ms; -1 for none.
     """
 
     since: Millis = Millis(-1)
@@ -195,94 +200,94 @@
 
 
 class Fleet(msgspec.Struct):
-    """Everything that decisions read.
+    """All state that routing decisions are based on.
 
     Attributes
     ----------
     me : Identity
-        Who this box is.
+        Identity of this box.
     settings : SettingsRow
-        Which settings it has in force.
+        Settings in force at this box.
     catalog : Catalog or None
-        The newest catalog known; never replaced by an older one.
+        The newest known catalog; an older one never replaces it.
     catalog_packed : bytes
-        The same as it came, packed for peers.
+        The catalog in its received, packed form, for sending to peers.
     catalog_proof : CatalogProof
-        What shows that it is the newest.
+        Proof that the catalog is the newest.
     proved_before_me : int
-        As of when a box before this one by name proved its own, as far as told, in ms;
-        -1 for never.
+        Time of the newest catalog proof reported from a box whose name sorts before
+        this one, in ms; -1 for never.
     waiting_since : int
-        When this box's read that waits for operators' records began, in ms; -1 while
-        there is none.
+        Start of this box's pending long poll for operators' records, in ms; -1 for
+        none.
     workers : Workers
         Backend servers.
     workers_end : int
-        The end of the workers' stream at the newest list taken in.
+        End of the workers' stream at the newest list applied.
     workers_read_at : int
-        When that list was read from the store, by this box or by the one that told it,
-        in ms; -1 for never.
+        When that list was read from the store, by this box or by the peer that sent
+        it, in ms; -1 for never.
     readings : Readings
-        Readings of the list by any box that this one hears of.
+        Time span without a gap between reads of the list by any known box.
     missing : set
-        Workers that the list lacks just after the store's return: their entries may
-        come back.
+        Workers that are absent from the list just after a restore of the store; their
+        entries may return.
     silences : dict
-        When which box found a worker silent, in ms, by worker and box.
+        When a box found a worker silent, in ms, by worker and reporting box.
     breaks : dict
-        Connections that ended under requests of late, by worker.
+        Connections that recently broke during a request, by worker.
     suspects : dict
-        Contents under which workers ended.
+        Request contents suspected of crashing workers.
     kept_known : bool
-        Whether this box knows what the store has recorded of contents kept back.
+        Whether this box has read the quarantined contents recorded in the store.
     sound : dict
-        When this box last gave a whole answer to a content, in ms, the oldest first.
+        When this box last returned a complete answer to a content, in ms, oldest first.
     peers : dict
-        Other boxes.
+        Other boxes by name.
     boxes_told : int
-        The most boxes that any peer knew of, itself among them.
+        The greatest number of boxes that any peer reports, including that peer.
     alone_until : int
-        Until when a box that heard of no other takes it that there are some, in ms.
+        Until when this box assumes that undiscovered peers exist, in ms.
     cold_bounds : ColdBounds
-        What a worker may get while it is cold.
+        Bounds of the requests that a worker may get while it is cold.
     evacuations : dict
-        What operators said last of each failure domain's workers.
+        The operators' newest order for each failure domain.
     outages : dict
-        Failure domains of which workers could not be reached just now.
+        Failure domains with workers that were recently unreachable.
     regions : dict
-        The region of each failure domain, as the settings tell it.
+        Region of each failure domain, from the settings.
     rollouts : Rollouts
-        Orders and their evidence.
+        Roll-out orders and their evidence.
     traffic : dict
-        Requests and repeats by service.
+        Numbers of requests and repeats by service.
     models : dict
-        What is known of models.
+        Statistics by model.
     repeat_prices : dict
-        What a repeat for quality is taken to cost by service, in the catalog's price
-        unit: above 0 where the budget of repeats is short.
+        Shadow price of repeating a request for quality, by service, in the catalog's
+        price unit; above 0 while the retry budget is nearly used up.
     first_times : dict
         Usual times to the first byte by route name and model ("" where it has none).
     speeds : dict
-        How fast engines read, by service and model.
+        Prefill speed of engines, by service and model.
     paces : dict
-        How fast engines write, by service and model.
+        Token generation speed of engines, by service and model.
     unseen_kept : dict
-        How often an engine kept a prompt that this box knew nothing of there, by
+        How often an engine had a prompt cached of which this box did not know, by
         service and model, in 0 to 1.
     prompts_read : deque of PromptRead
-        The newest prompts that this box sent to engines not known to keep them.
+        The newest prompts that this box sent to engines not known to have them cached.
     lateness : dict
         Mean lateness of the newest answers, in 0 to 1, by service.
     engine_worths : dict
-        Usual gain of a larger model's answer for each ms that it takes an engine, by
+        Usual value gained by a larger model's answer for each ms of engine time, by
         service, in the catalog's price unit.
     store : StoreHealth
-        The platform's store.
+        Health of the platform's store.
     stale_until : int
-        Until when requests are held as the box has just woken and heard nobody yet, in
-        ms.
+        Until when requests are held after the box resumed from sleep, unless a peer
+        or the store is heard first, in ms.
     stopping : bool
-        Whether a planned stop is under way.
+        Whether a planned stop is in progress.
     """
 
     me: Identity
@@ -328,5 +333,5 @@
 
     @property
     def catalog_version(self) -> int:
-        """The version of the catalog that this box knows; -1 for none."""
+        """Version of the catalog that this box knows; -1 for none."""
         return self.catalog.version if self.catalog is not None else -1
--- a/src/spanshunt/tables/identity.py
+++ b/src/spanshunt/tables/identity.py
@@ -1,4 +1,4 @@
-"""Who a daemon is."""
+"""The identity of a daemon."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who this daemon is; ``address`` is where its peers reach it."""
+    """Identity of this daemon; ``address`` is where its peers reach it."""
 
     box: BoxId
     domain: DomainId
--- a/src/spanshunt/tables/journal.py
+++ b/src/spanshunt/tables/journal.py
@@ -1,4 +1,4 @@
-"""The journal: bills that are not on the log yet, own ones and copies of peers'."""
+"""The journal: bills that are not on the log yet, with copies of peers' bills."""
 
 import msgspec
 
@@ -8,14 +8,14 @@
 
 
 class Copies(msgspec.Struct):
-    """Entries of another incarnation, held in case it goes.
+    """Copies of another incarnation's entries, held in case that box fails.
 
     Attributes
     ----------
     entries : dict
-        By seq.
+        Entries by sequence number.
     heard : int
-        When the owner last sent something, in ms.
+        When the owner last sent entries, in ms.
     """
 
     entries: dict[int, BillEntry] = {}
@@ -28,13 +28,13 @@
     Attributes
     ----------
     incarnation : str
-        The owner.
+        The incarnation that owns the journal.
     next_seq : int
-        The number of the next entry.
+        Sequence number of the next entry.
     open : dict
-        Own entries not yet on the log, by seq.
+        Own entries that are not on the log yet, by sequence number.
     copies : dict
-        Entries of others, by incarnation.
+        Copies of entries of other incarnations, by incarnation.
     """
 
     incarnation: Incarnation
@@ -44,5 +44,5 @@
 
     @property
     def size(self) -> int:
-        """Entries held, own and copied."""
+        """Number of entries held, own and copied."""
         return len(self.open) + sum(len(row.entries) for row in self.copies.values())
--- a/src/spanshunt/tables/members.py
+++ b/src/spanshunt/tables/members.py
@@ -1,4 +1,4 @@
-"""Peers: the boxes that run the daemon, as this box knows them."""
+"""Group membership: the other boxes that run the daemon, as this box knows them."""
 
 import msgspec
 
@@ -15,27 +15,27 @@
     Attributes
     ----------
     box : str
-        Its name.
+        Name of the box.
     domain : str
         Its failure domain.
     address : str
-        Its peer protocol, ``host:port``.
+        Address of its peer protocol, ``host:port``.
     incarnation : str
-        Its present run.
+        Current run of its daemon.
     beat : int
-        Its heartbeat counter, rising by one each gossip period.
+        Heartbeat counter of the box; it rises by one in each gossip period.
     heard : int
-        When the counter last rose here, in ms of the monotonic clock.
+        When this box last saw the counter rise, in ms of the monotonic clock.
     offset : int
-        The first record of the configuration stream that it has not folded.
+        Offset of the first configuration record that the peer has not folded.
     witnessed : int
-        The latest send time of an exchange that it answered as a witness, directly or
-        through a peer, in ms of the monotonic clock; -1 for none.
+        Send time of the latest exchange that the peer answered as a witness, directly
+        or through another peer, in ms of the monotonic clock; -1 for none.
     answered : int
-        The latest send time of an exchange that it answered to this box itself, witness
-        or not; -1 for none.
+        Send time of the latest exchange with this box that the peer answered, as a
+        witness or not, in ms of the monotonic clock; -1 for none.
     stopping : bool
-        Whether it takes no new work.
+        Whether the peer takes no new requests.
     """
 
     box: BoxId
@@ -51,14 +51,14 @@
 
 
 class Members(msgspec.Struct):
-    """All peers known, by box; this box is not among them.
+    """All known peers, without this box.
 
     Attributes
     ----------
     rows : dict
-        The peers.
+        Peers by box.
     listed : frozenset of str
-        The router boxes on the platform's list, this one included.
+        Router boxes on the platform's list, including this box.
     """
 
     rows: dict[BoxId, MemberRow] = {}
--- a/src/spanshunt/tables/notices.py
+++ b/src/spanshunt/tables/notices.py
@@ -1,4 +1,4 @@
-"""What backend servers say of themselves at the heads of their answers."""
+"""Notices that backend servers send about themselves in their answer headers."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class Word(enum.Enum):
-    """What a worker may say of itself."""
+    """Kinds of notices that a worker sends about itself."""
 
     LIMIT = "limit"
     LEAVING = "leaving"
@@ -17,27 +17,27 @@
 
 
 class Flaw(msgspec.Struct, frozen=True):
-    """A word that can't be used: which one, what was found and what is allowed."""
+    """An invalid notice: its kind, the value found and the values allowed."""
 
     word: Word
     detail: str
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """What one answer says of its worker, beside the load.
+    """Notices about its worker in one answer, apart from the load.
 
     Attributes
     ----------
     per_s : float or None
-        Requests a second that it takes from all boxes together; None where it names no
-        limit that can be read.
+        Requests a second that the worker takes from all boxes together; None if the
+        answer names no valid limit.
     leaving : bool
-        Whether it says that it leaves.
+        Whether the worker announces that it leaves.
     rest_ms : int or None
-        For how long it wants nothing from the box that it turned away, in ms; None
-        where it does not say so.
+        How long the box whose request was turned away must send nothing to the worker,
+        in ms; None if the answer does not ask for it.
     flaws : tuple of Flaw
-        What it says that can't be used.
+        Notices that are invalid.
     """
 
     per_s: float | None = None
@@ -46,21 +46,22 @@
     flaws: tuple[Flaw, ...] = ()
 
     def is_odd(self, word: Word) -> bool:
-        """Tell whether one of its words is there and can't be used."""
+        """Return whether the notice of this kind is present and invalid."""
         return any(flaw.word is word for flaw in self.flaws)
 
 
 class RateLimit(msgspec.Struct, frozen=True):
-    """A worker's newest word on the rate that it takes.
+    """The newest rate limit that a worker has announced.
 
     Attributes
     ----------
     per_s : float or None
-        Requests a second, of all boxes together; None once it names none any more.
+        Requests a second from all boxes together; None once the worker names no limit
+        any more.
     at : int
-        When it was heard, in ms.
+        When the notice arrived, in ms.
     source : str
-        The box that heard it.
+        The box that received the notice.
     """
 
     per_s: float | None
@@ -69,28 +70,28 @@
 
 
 class Leaving(msgspec.Struct, frozen=True):
-    """That a worker said it leaves: when that was heard first, in ms, by which box."""
+    """A worker's notice that it leaves: when it first arrived, in ms, at which box."""
 
     at: Millis
     source: BoxId
 
 
 class Rest(msgspec.Struct, frozen=True):
-    """That a worker asked this box for rest: when it did, and until when, in ms."""
+    """The rest that a worker asked this box for: its start and end, in ms."""
 
     at: Millis
     until: Millis
 
 
 class Grants(msgspec.Struct):
-    """When this box may send to a worker that names a limit.
+    """Limiter for this box's requests to a worker that names a rate limit.
 
     Attributes
     ----------
     opens_at : float
-        When the oldest grant that was not used opens, or did, in ms.
+        When the oldest unused grant becomes or became valid, in ms.
     period_ms : float
-        Time from one grant to the next, in ms.
+        Time between two grants, in ms.
     """
 
     opens_at: float
--- a/src/spanshunt/tables/rollouts.py
+++ b/src/spanshunt/tables/rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs of versions that the platform's operators order, and their evidence."""
+"""Roll-outs of versions ordered by the platform's operators, and their evidence."""
 
 import enum
 
@@ -13,13 +13,13 @@
 from ..ids import VersionId
 
 EPOCH_MS = 1_000
-"""Width of the epochs that answers are counted in, in ms. The change test needs a few
-epochs to see a version that turns bad later; a second holds a few answers of a canary
-at the smallest fleets served."""
+"""Length of the epochs in which answers are counted, in ms. The change test needs a few
+epochs to detect a version that turns bad later, and at the smallest fleets one second
+still holds a few answers of a canary."""
 
 
 class Verdict(enum.Enum):
-    """How far a roll-out is."""
+    """State or outcome of a roll-out."""
 
     RUNNING = "running"
     SUCCEEDED = "succeeded"
@@ -27,26 +27,26 @@
 
 
 class Finding(enum.Enum):
-    """What can be wrong with an answer: it failed, or its first byte came late."""
+    """Kinds of faults of an answer: it failed, or its first byte came late."""
 
     FAILED = "failed"
     SLOW = "slow"
 
 
 class Tally(msgspec.Struct):
-    """Answers and their faults.
+    """Counts of answers and of their faults.
 
     Attributes
     ----------
     answers : int
-        Answers that began or failed: a failure shows at once, and what is whole only
-        seconds later, so counting whole ones would show failures first.
+        Answers that began or failed. A failure is known at once and a complete answer
+        only seconds later, so counting complete answers would overstate failures.
     failed : int
-        Those that failed.
+        Answers that failed.
     timed : int
-        Answers of which it is known whether they were slow.
+        Answers whose time to the first byte is known.
     slow : int
-        Those that were.
+        Answers that were slow.
     """
 
     answers: int = 0
@@ -61,26 +61,26 @@
         self.timed += other.timed
         self.slow += other.slow
 
-    def raise_to(self, told: "Tally") -> None:
-        """Take in what was told of the same answers: counts only rise."""
-        self.answers = max(self.answers, told.answers)
-        self.failed = max(self.failed, told.failed)
-        self.timed = max(self.timed, told.timed)
-        self.slow = max(self.slow, told.slow)
+    def raise_to(self, other: "Tally") -> None:
+        """Merge other counts of the same answers by maximum, as counts only rise."""
+        self.answers = max(self.answers, other.answers)
+        self.failed = max(self.failed, other.failed)
+        self.timed = max(self.timed, other.timed)
+        self.slow = max(self.slow, other.slow)
 
     def trials(self, finding: Finding) -> int:
-        """Return how many answers could have shown this fault."""
+        """Return the number of answers that were checked for this fault."""
         return self.answers if finding is Finding.FAILED else self.timed
 
     def faults(self, finding: Finding) -> int:
-        """Return how many answers had this fault."""
+        """Return the number of answers with this fault."""
         return self.failed if finding is Finding.FAILED else self.slow
 
 
 class EvidenceKey(msgspec.Struct, frozen=True):
-    """What a tally is of: a route, the old or the new version, an epoch.
+    """Key of a tally: a route, the leaving or the entering version, and an epoch.
 
-    Epochs are counted from the first sight of the order on the box that counts.
+    Epochs are numbered from when the counting box first saw the order.
     """
 
     route: str
@@ -89,21 +89,21 @@
 
 
 class WorkerKey(msgspec.Struct, frozen=True):
-    """What a worker's tally is of: one life of it, and whether of the new version."""
+    """Key of a worker's tally: one run of it, and whether of the entering version."""
 
     worker: LifeId
     entering: bool
 
 
 class Tallies(msgspec.Struct):
-    """Answers under an order, counted twice: by route and epoch, and by worker.
+    """Tallies of the answers of one order, by route and epoch and also by worker.
 
     Attributes
     ----------
     routes : dict
-        By route, version and epoch.
+        Tallies by route, version and epoch.
     workers : dict
-        By worker since the order; of many workers a sample.
+        Tallies by worker since the order; a sample if there are many workers.
     """
 
     routes: dict[EvidenceKey, Tally] = {}
@@ -111,18 +111,18 @@
 
 
 class Against(msgspec.Struct, frozen=True):
-    """How far answers spoke against an entering version when that was recorded.
+    """A suspicion against an entering version, as recorded in the store.
 
     Attributes
     ----------
     route : str
-        The route that they were on; empty for all.
+        Route of the faulty answers; empty for all routes.
     finding : Finding
-        What was wrong with them.
+        Kind of fault.
     log_evidence : float
         Natural log of the change statistic.
     epoch : int
-        The epoch up to which it was known.
+        The epoch up to which answers were counted.
     """
 
     route: str
@@ -137,65 +137,70 @@
     Attributes
     ----------
     service, version : str
-        What moves and where to.
+        The service, and the version that it moves to.
     order : int
-        The order's place in the operators' stream under which it was known first.
+        Offset in the operators' stream at which the order was first known.
     duration_ms : int
-        How long it may take.
+        How long the roll-out may take, in ms.
     began : int
-        When it began, in ms of this box's monotonic clock; taken from whoever saw the
-        order first.
+        When the roll-out began, in ms of this box's monotonic clock, as reported by the
+        box that saw the order first.
     seen : bool
-        Whether this box, or one whose word it took, saw the order come. Else `began`
-        rests on a time of day, which may be wrong by seconds, or on when this box
-        started.
+        Whether `began` is from a box that saw the order arrive. Otherwise it is derived
+        from a wall-clock time, which may be wrong by seconds, or from the start of this
+        box.
     verdict : Verdict
-        How it ended, or that it runs.
+        Outcome of the roll-out, or that it is running.
     reason : str
-        The evidence that a verdict rests on, for people.
+        Evidence for the verdict, as text for operators.
     recorded : bool
-        Whether the verdict is known to stand in the platform's store.
+        Whether the verdict is known to be recorded in the platform's store.
     announced : bool
-        Whether it is known to stand there that the order runs.
+        Whether the start of the roll-out is known to be recorded there.
     against : Against or None
-        The suspicion that stands in the platform's store; None for none.
+        The suspicion recorded in the platform's store; None for none.
     suspected_at : int
-        Since when this box holds a stronger one, in ms; -1 while it does not.
+        Since when this box has a stronger suspicion than the recorded one, in ms; -1
+        for none.
     judged_at : int
         When this box learned of the verdict, in ms.
     sound_at : int
-        Since when this box holds that the version has succeeded, in ms, while that is
-        not recorded; -1 while it does not.
+        Since when this box judges the version successful without a recorded verdict, in
+        ms; -1 for not.
     turned_bad : str
-        The evidence that it turned bad after its success, for people; empty for none.
+        Evidence that the version turned bad after its success, as text for operators;
+        empty for none.
     looked_at : int
-        When this box last looked for that, in ms.
+        When this box last checked whether the version turned bad, in ms.
     way_back_recorded : bool
-        Whether it is known to be recorded that requests went back then.
+        Whether the rollback after `turned_bad` is known to be recorded.
     extra : float
-        Part of the order's requests that the entering version may get beyond the
-        allowed share, for the allowed number of requests.
+        Share of the order's requests that the entering version may get on top of the
+        allowed share, derived from the allowed number of requests.
     full_from_ms : int
-        From which age of the order on all requests enter, in ms, where that was put
-        off; 0 while it was not.
+        Postponed age of the order at which all requests move to the entering version,
+        in ms; 0 if it was not postponed.
     barred : frozenset of str
-        Versions that earlier orders brought in and that were taken back: their workers
-        may still be listed.
+        Versions that were rolled back in earlier orders; their workers may still be
+        listed.
     newest : int
-        Its newest place there: it may have been written again after the store came
-        back from a copy. A greater one of another order replaces this row.
+        The order's newest offset in the stream, as the order may be written again after
+        the store was restored from a copy. Another order with a greater offset replaces
+        this row.
     before : int
-        The newest place of the order that this one replaced; -1 for none.
+        The newest offset of the order that this one replaced; -1 for none.
     own : Tallies
-        This box's.
+        Tallies of this box.
     near : dict
-        Those of the other boxes of this failure domain, by the run of the box.
+        Tallies of the other boxes in this failure domain, by incarnation.
     far : dict
-        Sums of other failure domains.
+        Summed tallies of the other failure domains.
     changes : int
-        How often any of these changed.
+        Number of changes to any of these tallies.
     total : Tallies
-        Their sum as it was at `total_at` of these changes; read through `pooled`.
+        Cached sum of the tallies, read through `pooled`.
+    total_at : int
+        The number of changes at which `total` was computed; -1 for never.
     """
 
     service: ServiceId
@@ -229,19 +234,19 @@
 
 
 class ExposeBounds(msgspec.Struct, frozen=True):
-    """What a bad version may get: a share of the order's requests, and a number."""
+    """Bounds of a bad version's requests: a share of the order's, and a number."""
 
     share: float = 0.15
     slack: float = 0.0
 
 
 class Rollouts(msgspec.Struct):
-    """All orders, and what a version may get while it is brought in.
+    """All orders, and the bounds of what an entering version may get.
 
     Attributes
     ----------
     bounds : ExposeBounds
-        What a bad version may get.
+        Bounds of the requests that a bad version may get.
     rows : dict
         The newest order of each service.
     """
--- a/src/spanshunt/tables/sessions.py
+++ b/src/spanshunt/tables/sessions.py
@@ -1,4 +1,4 @@
-"""Soft state of sessions whose callers send only an id."""
+"""Version pins of sessions whose callers send only a session id (soft state)."""
 
 import msgspec
 
@@ -6,26 +6,26 @@
 from ..ids import VersionId
 
 PIN_LIFETIME_MS = 4 * 3_600_000
-"""How long after its last use a pin is kept: a sitting of four hours."""
+"""How long a pin is kept after its last use, in ms: a session of four hours."""
 
 MAX_PINS = 50_000
-"""Pins kept; the one used longest ago goes first."""
+"""Maximum number of pins; the least recently used one is evicted."""
 
 
 class PinRow(msgspec.Struct):
-    """A session's version, and when it was last used, in ms."""
+    """The version of a session, and when the pin was last used, in ms."""
 
     version: VersionId
     used: Millis
 
 
 class Pins(msgspec.Struct):
-    """Pins by key, the one used longest ago first."""
+    """Pins by key, least recently used first."""
 
     rows: dict[str, PinRow] = {}
 
     def get(self, key: str, now: Millis) -> VersionId | None:
-        """Return the version of a session and mark it used."""
+        """Return the version of a session and mark the pin as used."""
         row = self.rows.pop(key, None)
         if row is None or now - row.used > PIN_LIFETIME_MS:
             return None
@@ -34,7 +34,7 @@
         return row.version
 
     def put(self, key: str, version: VersionId, now: Millis) -> None:
-        """Keep the version of a session."""
+        """Store the version of a session and evict the oldest pins."""
         self.rows.pop(key, None)
         self.rows[key] = PinRow(version, now)
         while len(self.rows) > MAX_PINS:
--- a/src/spanshunt/tables/settings_state.py
+++ b/src/spanshunt/tables/settings_state.py
@@ -1,4 +1,4 @@
-"""Which settings a box has in force, as it tells operators and other boxes."""
+"""The settings in force at a box, as reported to operators and to other boxes."""
 
 import msgspec
 
@@ -6,22 +6,21 @@
 
 
 class SettingsRow(msgspec.Struct):
-    """The settings in force, and what became of the newest file.
+    """The settings in force, and whether the newest settings file was accepted.
 
     Attributes
     ----------
     digest : str
-        Names what is in force of the settings that all boxes share; empty while that
-        is unknown.
+        Digest of the settings in force that all boxes share; empty while unknown.
     since : int
-        When that came into force, in ms.
+        When these settings came into force, in ms.
     refused : str
-        Why the newest file is not taken: field, value and what is allowed; empty if it
-        was taken.
+        Why the newest file was refused: field, value and allowed values; empty if it
+        was accepted.
     refused_since : int
-        When it was refused first, in ms; -1 if it is not.
+        When the newest file was first refused, in ms; -1 if it was accepted.
     waiting : tuple of str
-        Fields of the newest file that take effect at the next start only.
+        Changed fields of the newest file that take effect only at the next start.
     """
 
     digest: str = ""
@@ -32,18 +31,18 @@
 
 
 class ToldSettings(msgspec.Struct, frozen=True):
-    """What another box told of its settings.
+    """The settings of another box, as that box reports them.
 
     Attributes
     ----------
     digest : str
-        Names what it has in force; empty if it did not tell.
+        Digest of the settings in force there; empty if not reported.
     since : int
-        When that came into force, in ms of this box's clock.
+        When these settings came into force, in ms of this box's clock.
     refused : bool
-        Whether its newest file is refused.
+        Whether the newest settings file was refused there.
     waiting : bool
-        Whether fields of that file wait for its next start.
+        Whether fields of that file take effect only at the next start.
     """
 
     digest: str = ""
--- a/src/spanshunt/tables/state.py
+++ b/src/spanshunt/tables/state.py
@@ -1,4 +1,4 @@
-"""All tables of one daemon together."""
+"""All tables of one daemon."""
 
 import collections
 
@@ -21,22 +21,22 @@
 from .workers import Workers
 
 TAIL_RECORDS = 2_000
-"""Configuration records kept to give to peers."""
+"""Number of configuration records kept to send to peers."""
 
 
 class SuspendedRow(msgspec.Struct):
-    """A version that is not used although the log does not say so yet.
+    """A version that is not used, although its withdrawal is not on the log yet.
 
     Attributes
     ----------
     rollout : str
         The roll-out whose guard rails were broken.
     stage : int
-        The stage that it was judged in.
+        The stage in which they were broken.
     reason : str
-        For people.
+        Explanation for operators.
     since : int
-        When it was judged, in ms of the monotonic clock.
+        When the version was suspended, in ms of the monotonic clock.
     """
 
     rollout: RolloutId
@@ -46,26 +46,27 @@
 
 
 class State(msgspec.Struct):
-    """All tables, and the few counters that belong to none of them.
+    """All tables, and the few values that belong to none of them.
 
     Attributes
     ----------
     me : Identity
-        Who this daemon is.
+        Identity of this daemon.
     tail : deque of LogRecord
-        The last configuration records folded.
+        The configuration records that were folded last.
     started : int
         When this run of the daemon began, in ms of the monotonic clock.
     fresh_at : int
-        When the configuration was last proved fresh, in ms; -1 never.
+        When the configuration was last known to be current, in ms; -1 for never.
     beat : int
-        Own heartbeat counter.
+        This box's heartbeat counter.
     stopping : bool
-        Whether a planned stop is under way.
+        Whether a planned stop is in progress.
     snapshot_at : int
         ``next_offset`` of the newest snapshot seen on the log.
     sent_to : dict
-        For each peer incarnation, the ticket up to which evidence was sent to it.
+        For each peer incarnation, the number of the first change of evidence that was
+        not sent to it.
     """
 
     me: Identity
@@ -90,5 +91,5 @@
 
 
 def new_state(me: Identity, now: Millis) -> State:
-    """Return the empty tables of a daemon that starts at `now`."""
+    """Return empty tables for a daemon that starts at `now`."""
     return State(me=me, journal=Journal(me.incarnation), started=now)
--- a/src/spanshunt/tables/suspects.py
+++ b/src/spanshunt/tables/suspects.py
@@ -1,4 +1,4 @@
-"""Requests that were at a worker when it ended, by their content."""
+"""Request contents that were at a worker when it ended."""
 
 import msgspec
 
@@ -10,19 +10,19 @@
 from ..ids import VersionId
 
 SOUND_MS = 60_000
-"""How long a whole answer speaks for a content, in ms: what ends workers is answered by
-none, while a sound one that is asked often meets ends by chance."""
+"""How long a complete answer clears a content, in ms. A content that crashes workers is
+never answered, while a harmless frequent one meets ending workers by chance."""
 
 
 class Break(msgspec.Struct, frozen=True):
-    """An attempt whose connection ended before its answer was whole.
+    """An attempt whose connection ended before its answer was complete.
 
     Attributes
     ----------
     fingerprint : str
-        The request's content.
+        Fingerprint of the request's content.
     service : str
-        The service that it was sent to.
+        The service that the request was sent to.
     at : int
         When the connection ended, in ms.
     """
@@ -33,34 +33,36 @@
 
 
 class Suspect(msgspec.Struct):
-    """A content under which workers ended.
+    """A request content suspected of crashing workers.
 
     Attributes
     ----------
     fingerprint : str
-        The content.
+        Fingerprint of the content.
     service : str
-        The service that it was sent to.
+        The service that the requests were sent to.
     ends : dict
-        Lives of workers that ended while they had it, and when, in ms.
+        Runs of workers that ended while processing the content, and when, in ms.
     versions : set of str
-        The versions that these ran.
+        Versions that these workers ran.
     sound_at : int
-        When a worker last outlived a whole answer to it, or an operator let it go, in
-        ms; -1 for never. What ended before says nothing against it.
+        When a worker last answered the content completely and went on running, or an
+        operator released the content, in ms; -1 for never. Earlier ends do not count.
     shared : bool
-        Whether other boxes are told: not while its try goes on here, as most requests
-        that lose a worker are answered by the next one.
+        Whether this row is sent to other boxes. It is not while the request is still
+        being retried here, as most requests that lose a worker are answered by the next
+        one.
     changed_at : int
-        When this box last learned something of it, in ms.
+        When this row last changed, in ms.
     kept_by : str
-        The first box by name that found it is to be kept back; empty while none did.
+        The first box by name that decided to quarantine the content; empty for none.
     kept_at : int
-        When this box found that or heard it, in ms; -1 for never.
+        When this box quarantined the content or heard of the quarantine, in ms; -1 for
+        never.
     recorded : bool
-        Whether that stands in the platform's store.
+        Whether the quarantine is recorded in the platform's store.
     dropped_at : int
-        When this box took it out of there, in ms; -1 while it did not.
+        When this box removed that record, in ms; -1 for not removed.
     """
 
     fingerprint: Fingerprint
@@ -76,10 +78,10 @@
     dropped_at: Millis = Millis(-1)
 
     def counted(self) -> dict[LifeId, Millis]:
-        """Return the ends that count: none within `SOUND_MS` of a whole answer."""
+        """Return the ends later than `SOUND_MS` after the last complete answer."""
         since = self.sound_at + SOUND_MS if self.sound_at >= 0 else -1
         return {life: at for life, at in self.ends.items() if at > since}
 
     def last_end(self) -> Millis:
-        """Return when a worker last ended under it, in ms; -1 for never."""
+        """Return when a worker last ended under the content, in ms; -1 for never."""
         return max(self.ends.values(), default=Millis(-1))
--- a/src/spanshunt/tables/usage.py
+++ b/src/spanshunt/tables/usage.py
@@ -1,4 +1,4 @@
-"""What organisations use, at this box and, by gossip, at the others."""
+"""Usage of organisations at this box and, as learned by gossip, at other boxes."""
 
 import msgspec
 
@@ -8,22 +8,22 @@
 
 
 class UsageRow(msgspec.Struct, array_like=True):
-    """What one organisation uses at one box, as peers exchange it.
+    """Usage of one organisation at one box, as peers exchange it.
 
     Attributes
     ----------
     origin : str
-        The incarnation that counted.
+        The incarnation that counts.
     org : str
         The organisation.
     demand : float
-        Requests a second that it asked for there, a moving mean.
+        Moving mean of the requests a second that arrive there.
     running : int
-        Requests under way there.
+        Requests in progress there.
     day : int
-        The day, counted from the Unix epoch, that ``spent`` is for.
+        The day of ``spent``, in days since the Unix epoch.
     spent : int
-        Money spent there on that day, in millionths of the currency.
+        Amount spent there on that day, in millionths of the currency.
     """
 
     origin: str
@@ -35,35 +35,36 @@
 
 
 class Heard(msgspec.Struct):
-    """A peer's row and when it came, in ms of the monotonic clock."""
+    """A peer's usage row and when it arrived, in ms of the monotonic clock."""
 
     row: UsageRow
     at: Millis
 
 
 class OwnUsage(msgspec.Struct):
-    """What one organisation uses here.
+    """Usage of one organisation at this box.
 
     Attributes
     ----------
     tokens : float
-        Requests that may start at once.
+        Tokens in the bucket: requests that may start at once.
     refilled : int
-        When ``tokens`` was brought up to date, in ms.
+        When the token bucket was last refilled, in ms.
     allowance : float
-        This box's part of the organisation's rate, requests a second.
+        This box's share of the organisation's rate limit, in requests a second.
     asked : int
-        Requests asked for since the last tick that took them into ``demand``.
+        Requests that arrived since ``demand`` was last updated.
     demand : float
-        Requests a second asked for, a moving mean.
+        Moving mean of the requests a second that arrive.
     running : int
-        Requests under way.
+        Requests in progress.
     others_running : int
-        Requests under way at the other boxes, when last heard.
+        Requests in progress at the other boxes, by their newest rows.
     day : int
-        The day that ``spent`` is for.
+        The day of ``spent``, in days since the Unix epoch.
     spent, others_spent : int
-        Money spent on that day here and at the others, in millionths of the currency.
+        Amounts spent on that day at this box and at the other boxes, in millionths of
+        the currency.
     """
 
     tokens: float
@@ -79,7 +80,7 @@
 
 
 class Usage(msgspec.Struct):
-    """All usage known here: own, and peers' by origin and organisation."""
+    """All usage known to this box: its own, and peers' by origin and organisation."""
 
     own: dict[OrgId, OwnUsage] = {}
     heard: dict[tuple[str, OrgId], Heard] = {}
--- a/src/spanshunt/tables/workers.py
+++ b/src/spanshunt/tables/workers.py
@@ -1,4 +1,4 @@
-"""Backend servers as this box sees them."""
+"""Backend servers, as this box sees them."""
 
 import enum
 
@@ -20,7 +20,7 @@
 
 
 class WorkerState(enum.Enum):
-    """Whether a worker gets new work."""
+    """Whether a worker gets new requests."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -33,31 +33,31 @@
     Attributes
     ----------
     name : str
-        ``host:port``, or the id of this run of the worker where it has one.
+        ``host:port``, or the id of this run of the worker if runs have ids.
     address : str
-        ``host:port``; empty where the name says it.
+        ``host:port``; empty if the name is the address.
     service : str
-        The service that it answers.
+        The service whose requests the worker answers.
     domain : str
         Its failure domain.
     versions : frozenset of str
-        Versions that it holds.
+        Versions that the worker has loaded.
     state : WorkerState
-        Whether it gets new work.
+        Whether the worker gets new requests.
     inflight : int
-        Requests of this box that it is answering: exact.
+        Exact number of requests of this box that the worker is answering.
     reported : int
-        Requests of all boxes, by its last report.
+        Requests of all boxes in progress, by the worker's last report.
     inflight_at_report : int
-        This box's own part of ``reported``.
+        Requests of this box in progress at the time of that report.
     slots : int
-        Answers that fit in its batch.
+        Number of answers that fit in the worker's batch.
     reported_at : int
         When the last report came, in ms.
     failures : int
-        Failures since the last success.
+        Consecutive failures since the last success.
     back_at : int
-        When an ejected worker may be tried again, in ms.
+        Until when the worker is ejected, in ms.
     ttft_ms : float
         Moving mean of the time to the first byte, in ms.
     token_ms : float
@@ -67,48 +67,50 @@
     queued : int
         Requests waiting at the worker, by its last report.
     reading_ms : float
-        Time that it takes to read the prompts of this box's requests that wait for
-        their first event there, in ms.
+        Prefill time of this box's requests that wait for their first event there, in
+        ms.
     told_ms : dict
-        The same of other boxes' requests, by box, as they told it: time in ms, and when
-        it was told.
+        The same for the requests of other boxes, as they report it: by box, the time in
+        ms and when it was reported.
     others_ms : float
-        The same beyond what they told, as far as its answers' times tell, in ms.
+        Further prefill time of other boxes that they did not report, in ms; estimated
+        from the times of answers.
     others_at : int
-        When that was last told, in ms.
+        When that was last estimated, in ms.
     kept : KeptParts
-        Prompt parts that it probably keeps.
+        Prompt parts that the engine probably has cached.
     listed_at : int
-        When a list last held its entry, in ms.
+        When a list last contained the worker, in ms.
     heard_at : int
-        When the last byte came from it on any request, in ms.
+        When the last byte arrived from the worker, on any request, in ms.
     born : int
-        When this life of it began, in ms since the Unix epoch by its own word; 0 where
-        it says nothing.
+        When this run of the worker began, in ms since the Unix epoch, as the worker
+        reports; 0 if it does not.
     ended_at : int
-        When this box found that it has ended, in ms; -1 while it has not.
+        When this box found that the worker ended, in ms; -1 while it runs.
     returns : int
-        Times that it answered again after that, before its entry told of another life.
+        How often the worker answered again after an end without a list entry for
+        another run.
     cold_until : int
-        Until when it is slow from its start, in ms.
+        Until when the worker is cold after its start, in ms.
     cold_listed : bool
-        Whether the list said so when it was last taken in.
+        Whether the newest list says that the worker is cold.
     cold_sent_at : int
-        When this box last sent it a request while it was cold, in ms; -1 for never.
+        When this box last sent a request to the cold worker, in ms; -1 for never.
     limit : RateLimit or None
-        Its newest word on the rate that it takes; None while it never named one.
+        The newest rate limit that the worker announced; None if it never named one.
     grants : Grants or None
-        This box's part of that rate; None while there is no limit.
+        Limiter of this box's share of that rate; None without a limit.
     words_from : int
-        From when on words are of this life of it, in ms.
+        Notices that arrived before this time are of an earlier run, in ms.
     leaving : Leaving or None
-        Its word that it leaves; None while it did not say so.
+        Notice that the worker leaves; None without one.
     rest : Rest or None
-        The longest rest that it asked this box for; None while it never did.
+        The longest rest that the worker asked this box for; None for none.
     drain_listed : bool
-        Whether its entry in the list says so.
+        Whether its entry in the list says that the worker leaves.
     odd_words : set of Word
-        Words of it that could not be used.
+        Kinds of invalid notices that were logged for the worker.
     """
 
     name: WorkerId
@@ -151,35 +153,35 @@
 
     @property
     def has_words(self) -> bool:
-        """Whether it said anything of itself that holds for its life."""
+        """Whether the worker sent any notice that holds for its run."""
         return any((self.limit, self.leaving, self.rest))
 
     @property
     def life(self) -> LifeId:
-        """Which life of the worker this is; an id may come again with a later start."""
-        began = f"/{self.born}" if self.born else ""
-        again = f"+{self.returns}" if self.returns else ""
-        return LifeId(f"{self.name}{began}{again}")
+        """Identifies this run of the worker, as a name may be reused by a later run."""
+        start_suffix = f"/{self.born}" if self.born else ""
+        return_suffix = f"+{self.returns}" if self.returns else ""
+        return LifeId(f"{self.name}{start_suffix}{return_suffix}")
 
 
 class Workers(msgspec.Struct):
-    """All workers.
+    """All known workers.
 
     Attributes
     ----------
     rows : dict
-        By name.
+        Workers by name.
     leaving : set
-        Those that any evidence says leave.
+        Workers that are leaving, by any evidence.
     ejected : set
-        Those that failed too often.
+        Workers that are ejected because they failed too often.
     index : dict
-        Workers by service, and by service and version; see :meth:`able`.
+        Workers by service and version, and by service with version None; see
+        :meth:`able`.
     former : dict
-        Rows that went with their entries and whose workers had said something of
-        themselves, the oldest first.
+        Rows of workers that left the list after they had sent notices, oldest first.
     digest : int
-        What the list says, as a number; 0 until it is worked out.
+        Hash of the contents of the list; 0 if it is not computed yet.
     """
 
     rows: dict[WorkerId, WorkerRow] = {}
@@ -190,7 +192,7 @@
     digest: int = 0
 
     def able(self, service: ServiceId, version: VersionId | None) -> list[WorkerRow]:
-        """Return the workers of `service` that hold `version`, whatever their state."""
+        """Return the workers of `service` with `version` loaded, in any state."""
         if not self.index:
             for row in self.rows.values():
                 self.index.setdefault((row.service, None), []).append(row)
@@ -199,6 +201,6 @@
         return self.index.get((service, version), [])
 
     def changed(self) -> None:
-        """Note that workers came or went, or that what is known of them changed."""
+        """Invalidate the index and the digest after a change to the workers."""
         self.index.clear()
         self.digest = 0
