--- a/src/spanshunt/attempt_outcomes.py
+++ b/src/spanshunt/attempt_outcomes.py
@@ -64,7 +64,7 @@
         unreached=fault.unreached,
         stale=fault.stale,
         detail=fault.detail,
-        out_until_ms=max(0, attempt.worker.back_at - now),
+        out_until_ms=max(0, attempt.worker.ejected_until - now),
     )
     if fault.unreached:
         return
@@ -85,7 +85,7 @@
         request=state.request,
         worker=attempt.worker.name,
         waited_ms=now - attempt.sent,
-        out_until_ms=max(0, attempt.worker.back_at - now),
+        out_until_ms=max(0, attempt.worker.ejected_until - now),
     )
 
 
@@ -103,7 +103,7 @@
     Where this box heard no other worker meanwhile, it may be the one that is cut off.
     """
     fleet, now = core.fleet, core.clock.now()
-    if any(row.heard_at >= attempt.sent for row in fleet.workers.rows.values()):
+    if any(row.last_byte_at >= attempt.sent for row in fleet.workers.rows.values()):
         note_silence(fleet, Silence(attempt.worker.name, fleet.me.box, now), now)
         core.tell_now()
 
@@ -177,7 +177,7 @@
         first_ms=first_ms,
         expected_ms=round(expected.first_ms),
         unread=round(expected.unread),
-        token_us=round(1_000 * speed.read_ms, 1),
+        token_us=round(1_000 * speed.token_ms, 1),
         base_ms=round(speed.base_ms),
         unseen=expected.unseen,
         spent_ms=now - state.began,
@@ -210,7 +210,7 @@
     """
     if attempt.first_at < 0:
         return True
-    known = (attempt.service, attempt.model) in core.fleet.paces
+    known = (attempt.service, attempt.model) in core.fleet.decode_speeds
     return known and tells_pace(attempt.gaps)
 
 
--- a/src/spanshunt/catalog_calls.py
+++ b/src/spanshunt/catalog_calls.py
@@ -215,7 +215,7 @@
         resume_after=state.last_event,
         fresh=state.broken or not state.repeatable,
     )
-    worker.reading_ms += reading_ms
+    worker.prefill_ms += reading_ms
     sending = asyncio.ensure_future(core.send(dispatch))
     try:
         waited = await _await_head(core, state, attempt, sending)
@@ -224,7 +224,7 @@
             return SendFault(False, detail, silent=True)
         opened = sending.result()
     finally:
-        worker.reading_ms -= reading_ms
+        worker.prefill_ms -= reading_ms
         if not sending.done():
             sending.cancel()
     return opened.err_value if isinstance(opened, Err) else opened.ok_value
@@ -265,7 +265,7 @@
     """Take in that a worker answers, what it says, and that it may be another one."""
     now = core.clock.now()
     attempt.answered = True
-    attempt.worker.heard_at = now
+    attempt.worker.last_byte_at = now
     note_domain_reached(core.fleet, attempt.worker)
     note_return(core.fleet, attempt.worker, now)
     if found.load is not None:
--- a/src/spanshunt/engine_news.py
+++ b/src/spanshunt/engine_news.py
@@ -5,25 +5,25 @@
 from .systems.estimating import take_read
 from .systems.estimating import take_speed
 from .systems.pacing import take_pace
-from .tables.engines import EngineSpeed
+from .tables.engines import PrefillSpeed
 from .tables.engines import PromptPart
-from .tables.engines import PromptRead
+from .tables.engines import RecentPrefill
 from .tables.fleet import Fleet
 
 
 def take_engine_news(fleet: Fleet, news: News, now: Millis) -> None:
     """Take in what a peer tells of engines; its newest word of waits counts alone."""
     for told in news.speeds:
-        speed = EngineSpeed(told.read_ms, told.base_ms)
+        speed = PrefillSpeed(told.read_ms, told.base_ms)
         take_speed(fleet, told.service, told.model, speed)
         if told.gap_ms > 0.0:
             take_pace(fleet, told.service, told.model, told.gap_ms)
     for row in fleet.workers.rows.values():
-        row.told_ms.pop(news.box, None)
+        row.peer_prefill_ms.pop(news.box, None)
     for waiting in news.readings:
         reading = fleet.workers.rows.get(waiting.worker)
         if reading is not None:
-            reading.told_ms[news.box] = (float(waiting.reading_ms), now)
+            reading.peer_prefill_ms[news.box] = (float(waiting.reading_ms), now)
     for read in news.reads:
         shared = tuple(PromptPart(*part) for part in read.shared)
-        take_read(fleet, PromptRead(read.worker, read.model, shared, now))
+        take_read(fleet, RecentPrefill(read.worker, read.model, shared, now))
--- a/src/spanshunt/fleet_report.py
+++ b/src/spanshunt/fleet_report.py
@@ -6,12 +6,12 @@
 from .ids import DomainId
 from .ids import Fingerprint
 from .ids import Incarnation
-from .ids import LifeId
 from .ids import Millis
 from .ids import ModelId
 from .ids import ServiceId
 from .ids import VersionId
 from .ids import WorkerId
+from .ids import WorkerIncarnation
 from .systems.estimating import others_ms
 from .systems.evacuating import emptied_domains
 from .systems.evacuating import is_emptied
@@ -97,7 +97,7 @@
 
     fingerprint: Fingerprint
     service: ServiceId
-    ends: tuple[LifeId, ...]
+    ends: tuple[WorkerIncarnation, ...]
     versions: tuple[VersionId, ...]
     last_end_ms: Millis
     found_by: BoxId
@@ -254,7 +254,7 @@
         slots=row.slots,
         inflight=row.inflight,
         error_rate=round(row.error_rate, 2),
-        waiting_ms=round(row.reading_ms + others_ms(row, now)),
+        waiting_ms=round(row.prefill_ms + others_ms(row, now)),
         out=_why_out(fleet, row, now),
     )
 
@@ -280,8 +280,8 @@
         return f"operators emptied {row.domain}"
     if is_cold(row, now):
         return f"cold for {row.cold_until - now} ms; gets little"
-    if row.back_at > now:
-        return f"failed {row.failures} times; out for {row.back_at - now} ms"
+    if row.ejected_until > now:
+        return f"failed {row.failures} times; out for {row.ejected_until - now} ms"
     rest_ms = rest_left_ms(row, now)
     if rest_ms:
         return f"asked for rest; gets nothing for {rest_ms} ms"
--- a/src/spanshunt/ids.py
+++ b/src/spanshunt/ids.py
@@ -35,7 +35,7 @@
 RequestId = t.NewType("RequestId", str)
 """One request of a caller, unique across all boxes."""
 
-LifeId = t.NewType("LifeId", str)
+WorkerIncarnation = t.NewType("WorkerIncarnation", str)
 """One run of a worker: its id, and its start time if ids are reused."""
 
 Fingerprint = t.NewType("Fingerprint", str)
--- a/src/spanshunt/peers/news.py
+++ b/src/spanshunt/peers/news.py
@@ -14,11 +14,11 @@
 from ..ids import DomainId
 from ..ids import Fingerprint
 from ..ids import Incarnation
-from ..ids import LifeId
 from ..ids import ModelId
 from ..ids import ServiceId
 from ..ids import VersionId
 from ..ids import WorkerId
+from ..ids import WorkerIncarnation
 from .talks import Talks
 from .talks import talk_handler
 from .unary import Channels
@@ -44,7 +44,7 @@
 class WorkerTallyNews(msgspec.Struct, frozen=True, array_like=True):
     """Answers of one life of a worker since the order, as the teller counted them."""
 
-    worker: LifeId
+    worker: WorkerIncarnation
     entering: bool
     answers: int
     failed: int
@@ -233,7 +233,7 @@
     fingerprint: Fingerprint
     service: ServiceId
     versions: tuple[VersionId, ...]
-    ends: tuple[tuple[LifeId, int], ...]
+    ends: tuple[tuple[WorkerIncarnation, int], ...]
     sound_age_ms: int
     kept_by: BoxId
     recorded: bool
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -61,8 +61,8 @@
             versions=tuple(row.versions),
             slots=row.slots,
             draining=is_listed_leaving(fleet, row),
-            born=row.born,
-            cold_ms=max(0, row.cold_until - now) if row.cold_listed else 0,
+            born=row.started_at,
+            cold_ms=max(0, row.cold_until - now) if row.listed_cold else 0,
         )
         for row in fleet.workers.rows.values()
         if row.name not in fleet.missing
@@ -78,7 +78,7 @@
         domain=item.domain,
         versions=frozenset(item.versions),
         slots=item.slots,
-        born=Millis(item.born),
+        started_at=Millis(item.born),
     )
     return ListedWorker(row, draining=item.draining, cold_ms=Millis(item.cold_ms))
 
@@ -223,19 +223,19 @@
 def speeds_news(fleet: Fleet) -> tuple[SpeedNews, ...]:
     """Return how fast engines are, as far as this box learned it."""
     told = []
-    for (service, model), speed in fleet.speeds.items():
-        pace = fleet.paces.get((service, model))
+    for (service, model), speed in fleet.prefill_speeds.items():
+        pace = fleet.decode_speeds.get((service, model))
         gap_ms = pace.gap_ms if pace is not None else 0.0
-        told.append(SpeedNews(service, model, speed.read_ms, speed.base_ms, gap_ms))
+        told.append(SpeedNews(service, model, speed.token_ms, speed.base_ms, gap_ms))
     return tuple(told)
 
 
 def readings_news(fleet: Fleet) -> tuple[ReadingNews, ...]:
     """Return what this box has waiting at engines."""
     return tuple(
-        ReadingNews(row.name, int(row.reading_ms))
+        ReadingNews(row.name, int(row.prefill_ms))
         for row in fleet.workers.rows.values()
-        if row.reading_ms >= 1.0
+        if row.prefill_ms >= 1.0
     )
 
 
@@ -252,7 +252,7 @@
     return tuple(
         LimitNews(
             worker=heard.worker.name,
-            born=heard.worker.born,
+            born=heard.worker.started_at,
             per_s=-1.0 if heard.limit.per_s is None else heard.limit.per_s,
             age_ms=now - heard.limit.at,
             source=heard.limit.source,
@@ -264,9 +264,9 @@
 def leavings_news(fleet: Fleet, now: Millis) -> tuple[LeavingNews, ...]:
     """Return which workers said that they leave, the newest first."""
     said = [
-        LeavingNews(row.name, row.born, now - row.leaving.at, row.leaving.source)
+        LeavingNews(row.name, row.started_at, now - row.leaving.at, row.leaving.source)
         for row in fleet.workers.rows.values()
-        if row.leaving is not None and not row.drain_listed
+        if row.leaving is not None and not row.listed_leaving
     ]
     return tuple(sorted(said, key=lambda item: item.age_ms)[:LEAVINGS_TOLD])
 
--- a/src/spanshunt/platform/kept_back.py
+++ b/src/spanshunt/platform/kept_back.py
@@ -5,10 +5,10 @@
 
 from ..ids import BoxId
 from ..ids import Fingerprint
-from ..ids import LifeId
 from ..ids import Millis
 from ..ids import ServiceId
 from ..ids import VersionId
+from ..ids import WorkerIncarnation
 from ..logs import log_event
 from ..systems.blaming import heard_peers
 from ..systems.following_workers import is_first_near
@@ -117,7 +117,9 @@
             told = Suspect(
                 fingerprint=Fingerprint(item.key_file),
                 service=ServiceId(record.backend),
-                ends={LifeId(life): Millis(now - age) for life in record.ends},
+                ends={
+                    WorkerIncarnation(life): Millis(now - age) for life in record.ends
+                },
                 versions=set(map(VersionId, record.versions)),
                 kept_by=BoxId(record.found_by),
                 recorded=True,
--- a/src/spanshunt/platform/wire.py
+++ b/src/spanshunt/platform/wire.py
@@ -434,7 +434,7 @@
         domain=DomainId(server.zone),
         versions=frozenset({VersionId(server.version)}),
         slots=server.slots,
-        born=Millis(server.born),
+        started_at=Millis(server.born),
     )
     flaw = _cold_flaw(server.cold_remaining_ms)
     return Ok(
--- a/src/spanshunt/platform/workers.py
+++ b/src/spanshunt/platform/workers.py
@@ -22,9 +22,9 @@
 from ..ports import Dispatch
 from ..ports import SendFault
 from ..systems.worker_health import Load
-from ..tables.notices import Flaw
+from ..tables.notices import InvalidNotice
 from ..tables.notices import Notice
-from ..tables.notices import Word
+from ..tables.notices import NoticeKind
 from . import wire
 
 CONNECT_TIMEOUT_S = 0.4
@@ -170,15 +170,15 @@
         asked = headers.getall(wire.RETRY_AFTER, [])
         rest_ms = wire.decode_rest(asked, headers.getall("Date", []))
     found = (
-        (Word.LIMIT, per_s.err()),
-        (Word.LEAVING, leaving.err()),
-        (Word.REST, rest_ms.err()),
+        (NoticeKind.LIMIT, per_s.err()),
+        (NoticeKind.LEAVING, leaving.err()),
+        (NoticeKind.REST, rest_ms.err()),
     )
     return Notice(
         per_s=per_s.unwrap_or(None),
         leaving=leaving.unwrap_or(False),
         rest_ms=rest_ms.unwrap_or(None),
-        flaws=tuple(Flaw(word, detail) for word, detail in found if detail),
+        invalid=tuple(InvalidNotice(word, detail) for word, detail in found if detail),
     )
 
 
--- a/src/spanshunt/relaying.py
+++ b/src/spanshunt/relaying.py
@@ -137,5 +137,5 @@
                 continue
             detail = f"worker {worker.name} silent for {silent_ms:.0f} ms"
             raise SilentWorkerError(detail) from None
-        worker.heard_at = core.clock.now()
+        worker.last_byte_at = core.clock.now()
         return block
--- a/src/spanshunt/router.py
+++ b/src/spanshunt/router.py
@@ -139,7 +139,7 @@
         table = self.state.workers
         return any(
             row.name not in table.leaving and row.state is not WorkerState.LEAVING
-            for row in table.able(service, version)
+            for row in table.find_capable(service, version)
         )
 
     def boxes(self) -> int:
--- a/src/spanshunt/systems/ending.py
+++ b/src/spanshunt/systems/ending.py
@@ -6,7 +6,7 @@
 """
 
 from ..ids import Millis
-from ..tables.engines import KeptParts
+from ..tables.engines import PromptCache
 from ..tables.fleet import Fleet
 from ..tables.suspects import Break
 from ..tables.workers import WorkerRow
@@ -35,8 +35,8 @@
     _forget_life(worker)
     forget_limit(worker, now)
     note_started(fleet, worker, now)
-    for read in [read for read in fleet.prompts_read if read.worker == worker.name]:
-        fleet.prompts_read.remove(read)
+    for read in [read for read in fleet.recent_prefills if read.worker == worker.name]:
+        fleet.recent_prefills.remove(read)
     breaks = fleet.breaks.pop(worker.name, [])
     return [broke for broke in breaks if now - broke.at <= BREAK_COUNTS_MS]
 
@@ -45,17 +45,17 @@
     """Take in that a worker answers: one that had ended is back, in another life."""
     if worker.ended_at >= 0:
         worker.ended_at = Millis(-1)
-        worker.returns += 1
+        worker.return_count += 1
         note_started(fleet, worker, now)
 
 
 def _forget_life(worker: WorkerRow) -> None:
     """Drop what was believed of a worker that has ended: whatever is back is empty."""
-    worker.kept = KeptParts()
-    worker.reported = worker.inflight_at_report = worker.queued = 0
+    worker.prompt_cache = PromptCache()
+    worker.reported_inflight = worker.own_inflight_at_report = worker.queued = 0
     worker.reported_at = Millis(0)
-    worker.told_ms.clear()
-    worker.others_ms = 0.0
+    worker.peer_prefill_ms.clear()
+    worker.unreported_prefill_ms = 0.0
     worker.error_rate = 0.0
 
 
--- a/src/spanshunt/systems/estimating.py
+++ b/src/spanshunt/systems/estimating.py
@@ -15,9 +15,9 @@
 from ..ids import ModelId
 from ..ids import ServiceId
 from ..tables.catalog import ServiceRow
-from ..tables.engines import EngineSpeed
+from ..tables.engines import PrefillSpeed
 from ..tables.engines import PromptPart
-from ..tables.engines import PromptRead
+from ..tables.engines import RecentPrefill
 from ..tables.fleet import Fleet
 from ..tables.workers import WorkerRow
 from .keeping import kept_tokens
@@ -137,23 +137,23 @@
 def estimator(fleet: Fleet, effort: Effort, now: Millis) -> Estimator:
     """Return what estimates one request at each of many workers."""
     speed = speed_of(fleet, effort.service, effort.model)
-    read_ms, base_ms = speed.read_ms, speed.base_ms
+    read_ms, base_ms = speed.token_ms, speed.base_ms
     keys = [(part_key(effort.model, part.name), part.tokens) for part in effort.shared]
     unseen_tokens = unseen_kept(fleet, effort) * effort.shared_tokens
 
     def estimate(row: WorkerRow, owner: bool) -> Estimate:
         kept = 0.0
-        parts = row.kept.parts
+        parts = row.prompt_cache.parts
         for key, tokens in keys:
             if key not in parts:
                 break
             kept += tokens
         unseen = owner and not kept
         unread = max(0.0, effort.read - (unseen_tokens if unseen else kept))
-        beyond_ms = _beyond_ms(row, now) if row.others_ms else 0.0
-        told_ms = _told_ms(row, now) if row.told_ms else 0.0
+        beyond_ms = _beyond_ms(row, now) if row.unreported_prefill_ms else 0.0
+        told_ms = _told_ms(row, now) if row.peer_prefill_ms else 0.0
         return Estimate(
-            own_ms=row.reading_ms,
+            own_ms=row.prefill_ms,
             others_ms=told_ms + beyond_ms,
             read_ms=base_ms + unread * read_ms,
             unread=unread,
@@ -190,7 +190,7 @@
 def _told_ms(row: WorkerRow, now: Millis) -> float:
     """Return what other boxes told that they have waiting at a worker, in ms."""
     total = 0.0
-    for waits_ms, at in row.told_ms.values():
+    for waits_ms, at in row.peer_prefill_ms.values():
         left_ms = waits_ms - (now - at)
         if left_ms > 0.0:
             total += left_ms
@@ -199,45 +199,47 @@
 
 def _beyond_ms(row: WorkerRow, now: Millis) -> float:
     """Return what others have waiting beyond what they told, in ms."""
-    age = max(0, now - row.others_at)
+    age = max(0, now - row.unreported_prefill_at)
     kept: float = 0.5 ** (age / OTHERS_HALF_LIFE_MS)
-    return row.others_ms * kept
+    return row.unreported_prefill_ms * kept
 
 
 def forget_told(fleet: Fleet, now: Millis) -> None:
     """Forget what boxes told of waits that is over: a box may be gone for good."""
     for row in fleet.workers.rows.values():
-        for box, (waits_ms, at) in list(row.told_ms.items()):
+        for box, (waits_ms, at) in list(row.peer_prefill_ms.items()):
             if now - at >= waits_ms:
-                del row.told_ms[box]
+                del row.peer_prefill_ms[box]
 
 
-def speed_of(fleet: Fleet, service: ServiceRow, model: ModelId) -> EngineSpeed:
+def speed_of(fleet: Fleet, service: ServiceRow, model: ModelId) -> PrefillSpeed:
     """Return how fast engines run a model; no time at all while nothing is known.
 
     A model that was not met yet is taken to be slower than another as it is dearer.
     """
-    speed = fleet.speeds.get((service.name, model))
+    speed = fleet.prefill_speeds.get((service.name, model))
     if speed is not None:
         return speed
     price = service.costs.get(model, 0.0)
     for other, other_price in service.costs.items():
-        known = fleet.speeds.get((service.name, other))
+        known = fleet.prefill_speeds.get((service.name, other))
         if known is not None and other_price > 0.0:
             factor = price / other_price
-            return EngineSpeed(known.read_ms * factor, known.base_ms * factor, 0)
-    return EngineSpeed(0.0, 0.0, 0)
+            return PrefillSpeed(known.token_ms * factor, known.base_ms * factor, 0)
+    return PrefillSpeed(0.0, 0.0, 0)
 
 
 def shared_read_ms(fleet: Fleet, effort: Effort) -> float:
     """Return how long it takes to read the shared parts of a prompt, in ms."""
     speed = speed_of(fleet, effort.service, effort.model)
-    return effort.shared_tokens * speed.read_ms
+    return effort.shared_tokens * speed.token_ms
 
 
 def unseen_kept(fleet: Fleet, effort: Effort) -> float:
     """Return how likely an owner keeps a prompt that this box knows nothing of."""
-    return fleet.unseen_kept.get((effort.service.name, effort.model), UNSEEN_KEPT)
+    return fleet.unseen_cache_rates.get(
+        (effort.service.name, effort.model), UNSEEN_KEPT
+    )
 
 
 def note_first_event(
@@ -255,8 +257,8 @@
         _note_speed(fleet, effort, expected, first_ms)
     beyond = max(0.0, first_ms - expected.first_ms + expected.beyond_ms)
     before = _beyond_ms(row, now)
-    row.others_ms = before + OTHERS_SMOOTHING * (beyond - before)
-    row.others_at = now
+    row.unreported_prefill_ms = before + OTHERS_SMOOTHING * (beyond - before)
+    row.unreported_prefill_at = now
 
 
 def _note_speed(
@@ -264,20 +266,20 @@
 ) -> None:
     """Move both parts of a speed towards a quantile, each by its part of the time."""
     key = (effort.service.name, effort.model)
-    speed = fleet.speeds.get(key)
+    speed = fleet.prefill_speeds.get(key)
     if speed is None:
         base_ms = FIRST_BASE_PART * first_ms
         read_ms = (first_ms - base_ms) / max(1.0, expected.unread)
-        fleet.speeds[key] = EngineSpeed(read_ms, base_ms)
+        fleet.prefill_speeds[key] = PrefillSpeed(read_ms, base_ms)
         return
-    usual = speed.base_ms + speed.read_ms * expected.unread
+    usual = speed.base_ms + speed.token_ms * expected.unread
     if expected.wait_ms > QUIET_PART * expected.first_ms or usual <= 0.0:
         return
     speed.answers += 1
     step = max(SPEED_STEP_LEAST, SPEED_STEP_MOST / speed.answers)
     step *= SPEED_QUANTILE if first_ms > usual else SPEED_QUANTILE - 1.0
-    reading = speed.read_ms * expected.unread / usual
-    speed.read_ms *= 1.0 + step * reading
+    reading = speed.token_ms * expected.unread / usual
+    speed.token_ms *= 1.0 + step * reading
     speed.base_ms *= 1.0 + step * (1.0 - reading)
 
 
@@ -287,22 +289,22 @@
     """Take in whether an owner kept a prompt that this box knew nothing of."""
     speed = speed_of(fleet, effort.service, effort.model)
     own_tokens = effort.read - 0.5 * effort.shared_tokens
-    middle = expected.wait_ms + speed.base_ms + own_tokens * speed.read_ms
+    middle = expected.wait_ms + speed.base_ms + own_tokens * speed.token_ms
     before = unseen_kept(fleet, effort)
     kept = 1.0 if first_ms < middle else 0.0
     key = (effort.service.name, effort.model)
-    fleet.unseen_kept[key] = before + UNSEEN_SMOOTHING * (kept - before)
+    fleet.unseen_cache_rates[key] = before + UNSEEN_SMOOTHING * (kept - before)
 
 
 def take_speed(
-    fleet: Fleet, service: ServiceId, model: ModelId, told: EngineSpeed
+    fleet: Fleet, service: ServiceId, model: ModelId, told: PrefillSpeed
 ) -> None:
     """Take in what a peer learned of a speed: each box moves a little towards it."""
-    speed = fleet.speeds.get((service, model))
+    speed = fleet.prefill_speeds.get((service, model))
     if speed is None:
-        fleet.speeds[(service, model)] = told
+        fleet.prefill_speeds[(service, model)] = told
         return
-    speed.read_ms += POOL_WEIGHT * (told.read_ms - speed.read_ms)
+    speed.token_ms += POOL_WEIGHT * (told.token_ms - speed.token_ms)
     speed.base_ms += POOL_WEIGHT * (told.base_ms - speed.base_ms)
 
 
@@ -317,22 +319,22 @@
 
     Of its memory this box counts on its share, as all boxes send there.
     """
-    known = kept_tokens(row.kept, effort.model, effort.shared)
+    known = kept_tokens(row.prompt_cache, effort.model, effort.shared)
     if known < effort.shared_tokens and shared_read_ms(fleet, effort) > TOLD_READ_MS:
-        read = PromptRead(row.name, effort.model, effort.shared, now)
-        fleet.prompts_read.append(read)
+        read = RecentPrefill(row.name, effort.model, effort.shared, now)
+        fleet.recent_prefills.append(read)
     boxes = len(fleet.peers) + 1
     capacity = effort.service.memory_tokens / boxes
-    note_read(row.kept, effort.model, (*effort.shared, own), capacity)
+    note_read(row.prompt_cache, effort.model, (*effort.shared, own), capacity)
 
 
-def newest_reads(fleet: Fleet, now: Millis) -> tuple[PromptRead, ...]:
+def newest_reads(fleet: Fleet, now: Millis) -> tuple[RecentPrefill, ...]:
     """Return the prompts read that peers shall hear of."""
-    return tuple(r for r in fleet.prompts_read if now - r.at < TOLD_FOR_MS)
+    return tuple(r for r in fleet.recent_prefills if now - r.at < TOLD_FOR_MS)
 
 
-def take_read(fleet: Fleet, read: PromptRead) -> None:
+def take_read(fleet: Fleet, read: RecentPrefill) -> None:
     """Take in that another box sent a prompt to an engine."""
     row = fleet.workers.rows.get(read.worker)
     if row is not None:
-        note_read(row.kept, read.model, read.shared, 0.0)
+        note_read(row.prompt_cache, read.model, read.shared, 0.0)
--- a/src/spanshunt/systems/following_workers.py
+++ b/src/spanshunt/systems/following_workers.py
@@ -15,7 +15,7 @@
 from ..ids import Offset
 from ..ids import WorkerId
 from ..tables.fleet import Fleet
-from ..tables.notices import Leaving
+from ..tables.notices import LeavingNotice
 from ..tables.workers import WorkerRow
 from ..tables.workers import WorkerState
 from .warming import note_started
@@ -104,7 +104,7 @@
     ended = _ended(fleet, listed)
     came, leaving = _take_present(fleet, listed, now)
     gone, kept = _take_missing(fleet, present, now)
-    fleet.workers.changed()
+    fleet.workers.invalidate_index()
     return ListChange(came, leaving, gone, kept, ended)
 
 
@@ -116,12 +116,12 @@
     rows = fleet.workers.rows
     fresh = [item.row for item in listed if item.row.name not in rows]
     taken = {row.address for row in fresh}
-    lives = {item.row.name: item.row.born for item in listed}
+    lives = {item.row.name: item.row.started_at for item in listed}
     return tuple(
         row
         for row in rows.values()
         if row.name not in fleet.workers.leaving
-        and (row.address in taken or lives.get(row.name, 0) > row.born > 0)
+        and (row.address in taken or lives.get(row.name, 0) > row.started_at > 0)
     )
 
 
@@ -134,21 +134,21 @@
         fresh = item.row
         fleet.missing.discard(fresh.name)
         known = workers.rows.get(fresh.name)
-        if known is None or fresh.born > known.born > 0:
+        if known is None or fresh.started_at > known.started_at > 0:
             _take_life(fleet, fresh, now)
             came.append(fresh.name)
         else:
             known.address, known.domain = fresh.address, fresh.domain
             known.versions, known.service = fresh.versions, fresh.service
-            known.born = fresh.born or known.born
+            known.started_at = fresh.started_at or known.started_at
         row = workers.rows[fresh.name]
         row.listed_at = now
-        row.cold_listed = bool(item.cold_ms)
+        row.listed_cold = bool(item.cold_ms)
         if item.cold_ms is not None:
             row.cold_until = max(row.cold_until, Millis(now + item.cold_ms))
         elif row is fresh:
             note_started(fleet, row, now)
-        row.drain_listed = item.draining
+        row.listed_leaving = item.draining
         if item.draining and fresh.name not in workers.leaving:
             _mark_leaving(fleet, fresh.name)
             leaving.append(fresh.name)
@@ -164,19 +164,19 @@
     """
     if fresh.name in fleet.workers.rows:
         # What peers still tell of its former life's silence is older than this.
-        fresh.heard_at = now
+        fresh.last_byte_at = now
     fleet.workers.rows[fresh.name] = fresh
     fleet.workers.leaving.discard(fresh.name)
     fleet.silences.pop(fresh.name, None)
     former = fleet.workers.former.pop(fresh.name, None)
-    if former is not None and former.born == fresh.born:
+    if former is not None and former.started_at == fresh.started_at:
         _take_words(fleet, fresh, former)
 
 
 def _take_words(fleet: Fleet, fresh: WorkerRow, former: WorkerRow) -> None:
     """Let a worker's words hold on whose entry went and came back in the same life."""
-    fresh.limit, fresh.grants = former.limit, former.grants
-    fresh.rest, fresh.words_from = former.rest, former.words_from
+    fresh.limit, fresh.rate_limiter = former.limit, former.rate_limiter
+    fresh.rest, fresh.notices_since = former.rest, former.notices_since
     if former.leaving is not None:
         note_leaving(fleet, fresh, former.leaving)
 
@@ -215,7 +215,7 @@
     fleet.missing.clear()
     for name in dropped:
         _remove(fleet, name)
-    fleet.workers.changed()
+    fleet.workers.invalidate_index()
     return dropped
 
 
@@ -225,7 +225,7 @@
     fleet.workers.leaving.discard(name)
     row = fleet.workers.rows.pop(name)
     former = fleet.workers.former
-    if row.has_words:
+    if row.has_notices:
         former[name] = row
     while len(former) > FORMER_KEPT:
         del former[next(iter(former))]
@@ -262,7 +262,7 @@
         row.state = WorkerState.LEAVING
 
 
-def note_leaving(fleet: Fleet, row: WorkerRow, word: Leaving) -> bool:
+def note_leaving(fleet: Fleet, row: WorkerRow, word: LeavingNotice) -> bool:
     """Take in that a worker said it leaves; return whether that is news.
 
     It holds for this life of the worker, whatever its entry says and for how long.
@@ -277,13 +277,13 @@
 def is_listed_leaving(fleet: Fleet, row: WorkerRow) -> bool:
     """Tell whether a worker leaves by more than its own answers."""
     leaves = row.name in fleet.workers.leaving
-    return row.drain_listed or (leaves and row.leaving is None)
+    return row.listed_leaving or (leaves and row.leaving is None)
 
 
 def note_replaced(fleet: Fleet, row: WorkerRow) -> None:
     """Take in that another worker answered at this worker's address: it has ended."""
     _mark_leaving(fleet, row.name)
-    fleet.workers.changed()
+    fleet.workers.invalidate_index()
 
 
 def note_store_answer(fleet: Fleet) -> bool:
@@ -393,8 +393,8 @@
 
 def _digest(fleet: Fleet) -> int:
     said = sorted(
-        f"{row.life} {row.address} {row.service} {sorted(row.versions)} "
-        f"{is_listed_leaving(fleet, row)} {row.cold_listed}"
+        f"{row.incarnation} {row.address} {row.service} {sorted(row.versions)} "
+        f"{is_listed_leaving(fleet, row)} {row.listed_cold}"
         for row in fleet.workers.rows.values()
         if row.name not in fleet.missing
     )
--- a/src/spanshunt/systems/keeping.py
+++ b/src/spanshunt/systems/keeping.py
@@ -9,7 +9,7 @@
 import typing as t
 
 from ..ids import ModelId
-from ..tables.engines import KeptParts
+from ..tables.engines import PromptCache
 from ..tables.engines import PromptPart
 
 PARTS_MOST = 512
@@ -21,7 +21,9 @@
     return f"{model}/{part}"
 
 
-def kept_tokens(kept: KeptParts, model: ModelId, shared: t.Sequence[PromptPart]) -> int:
+def kept_tokens(
+    kept: PromptCache, model: ModelId, shared: t.Sequence[PromptPart]
+) -> int:
     """Return how many shared tokens are kept, up to the first part that isn't."""
     tokens = 0
     for part in shared:
@@ -32,7 +34,7 @@
 
 
 def note_read(
-    kept: KeptParts,
+    kept: PromptCache,
     model: ModelId,
     parts: t.Sequence[PromptPart],
     capacity: float,
@@ -41,7 +43,7 @@
 
     Parameters
     ----------
-    kept : KeptParts
+    kept : PromptCache
         The engine's parts.
     model : str
         The model that reads.
@@ -59,5 +61,5 @@
         kept.tokens -= kept.parts.pop(oldest)
 
 
-def _too_much(kept: KeptParts, capacity: float) -> bool:
+def _too_much(kept: PromptCache, capacity: float) -> bool:
     return len(kept.parts) > PARTS_MOST or 0 < capacity < kept.tokens
--- a/src/spanshunt/systems/pacing.py
+++ b/src/spanshunt/systems/pacing.py
@@ -7,7 +7,7 @@
 
 from ..ids import ModelId
 from ..ids import ServiceId
-from ..tables.engines import WritePace
+from ..tables.engines import DecodeSpeed
 from ..tables.fleet import Fleet
 from ..tables.rollouts import Verdict
 from ..tables.workers import WorkerRow
@@ -49,9 +49,9 @@
     on_trial = row is not None and row.verdict is not Verdict.SUCCEEDED
     if row is not None and on_trial and row.version in worker.versions:
         return
-    pace = fleet.paces.get((service, model))
+    pace = fleet.decode_speeds.get((service, model))
     if pace is None:
-        fleet.paces[(service, model)] = WritePace(gap_ms, 1)
+        fleet.decode_speeds[(service, model)] = DecodeSpeed(gap_ms, 1)
         return
     pace.answers += 1
     step = max(STEP_LEAST, STEP_MOST / pace.answers)
@@ -61,9 +61,9 @@
 
 def take_pace(fleet: Fleet, service: ServiceId, model: ModelId, gap_ms: float) -> None:
     """Take in what a peer learned: each box moves a little towards it."""
-    pace = fleet.paces.get((service, model))
+    pace = fleet.decode_speeds.get((service, model))
     if pace is None:
-        fleet.paces[(service, model)] = WritePace(gap_ms, 1)
+        fleet.decode_speeds[(service, model)] = DecodeSpeed(gap_ms, 1)
         return
     pace.gap_ms += POOL_WEIGHT * (gap_ms - pace.gap_ms)
 
@@ -103,7 +103,7 @@
     whole : bool
         Whether it has ended.
     """
-    pace = fleet.paces.get((service, model))
+    pace = fleet.decode_speeds.get((service, model))
     if pace is None or not tells_pace(gaps) or elapsed_ms < WRITE_LEAST_MS:
         return False
     writing_ms = elapsed_ms if whole else elapsed_ms - STALL_MS
--- a/src/spanshunt/systems/placing.py
+++ b/src/spanshunt/systems/placing.py
@@ -201,7 +201,7 @@
     """
     owner = owner_of(fleet, rows, wanted)
     speed = speed_of(fleet, effort.service, effort.model)
-    own_ms = speed.base_ms + (effort.read - effort.shared_tokens) * speed.read_ms
+    own_ms = speed.base_ms + (effort.read - effort.shared_tokens) * speed.token_ms
     estimate = estimator(fleet, effort, now)
     aim_ms = wanted.aim_ms
     noise = NOISE_AIM_PART * aim_ms
@@ -226,7 +226,7 @@
     takes_work = _filter(fleet, wanted, now)
     able = [
         row
-        for row in fleet.workers.able(wanted.service, wanted.rule.only)
+        for row in fleet.workers.find_capable(wanted.service, wanted.rule.only)
         if wanted.rule.admits(row.versions)
         and takes_work(row)
         and open_in_ms(fleet, row, wanted, now) <= 0
@@ -234,7 +234,11 @@
     rows = [row for row in able if row.name not in wanted.avoid]
     if not rows and wanted.again:
         rows = able
-    live = [row for row in rows if row.back_at <= now and row.name not in wanted.silent]
+    live = [
+        row
+        for row in rows
+        if row.ejected_until <= now and row.name not in wanted.silent
+    ]
     away = {domain for domain in fleet.outages if is_out_of_reach(fleet, domain, now)}
     near = [row for row in live if row.domain not in away] if away else live
     return near or live or rows
@@ -245,7 +249,7 @@
     takes_work = _filter(fleet, wanted, now)
     return [
         row
-        for row in fleet.workers.able(wanted.service, wanted.rule.only)
+        for row in fleet.workers.find_capable(wanted.service, wanted.rule.only)
         if open_in_ms(fleet, row, wanted, now) > 0
         and wanted.rule.admits(row.versions)
         and takes_work(row)
@@ -288,7 +292,7 @@
 
 def batch_load(row: WorkerRow, now: Millis) -> float:
     """Return a worker's load in parts of its batch, requests in its queue twice."""
-    told = max(0, row.reported - row.inflight_at_report) + row.queued
+    told = max(0, row.reported_inflight - row.own_inflight_at_report) + row.queued
     if not told or not row.reported_at:
         return row.inflight / max(1, row.slots)
     weight: float = 0.5 ** (max(0, now - row.reported_at) / REPORT_HALF_LIFE_MS)
--- a/src/spanshunt/systems/quarantining.py
+++ b/src/spanshunt/systems/quarantining.py
@@ -73,7 +73,7 @@
             fingerprint, service, sound_at=fleet.sound.get(fingerprint, Millis(-1))
         )
         _make_room(fleet)
-    row.ends.setdefault(worker.life, now)
+    row.ends.setdefault(worker.incarnation, now)
     row.versions |= worker.versions
     row.shared |= len(row.counted()) > 1
     row.changed_at = now
@@ -162,7 +162,7 @@
     """Tell whether the service has workers, and none of the versions that ended."""
     workers = fleet.workers
     versions: set[VersionId] = set()
-    for worker in workers.able(row.service, None):
+    for worker in workers.find_capable(row.service, None):
         if worker.name not in workers.leaving:
             versions |= worker.versions
     return bool(versions) and not versions & row.versions
--- a/src/spanshunt/systems/ramping.py
+++ b/src/spanshunt/systems/ramping.py
@@ -234,5 +234,5 @@
 ) -> bool:
     return any(
         row.name not in fleet.workers.leaving and row.name not in tried
-        for row in fleet.workers.able(service, version)
+        for row in fleet.workers.find_capable(service, version)
     )
--- a/src/spanshunt/systems/resting.py
+++ b/src/spanshunt/systems/resting.py
@@ -4,7 +4,7 @@
 """
 
 from ..ids import Millis
-from ..tables.notices import Rest
+from ..tables.notices import RestPeriod
 from ..tables.workers import WorkerRow
 
 
@@ -16,7 +16,7 @@
     until = Millis(now + rest_ms)
     if row.rest is not None and row.rest.until >= until:
         return False
-    row.rest = Rest(now, until)
+    row.rest = RestPeriod(now, until)
     return True
 
 
--- a/src/spanshunt/systems/silence.py
+++ b/src/spanshunt/systems/silence.py
@@ -78,5 +78,7 @@
         return False
     drawn = unit_hash("silence", f"{fleet.me.box}/{worker}")
     counts_ms = COUNTS_MS * (COUNTS_LEAST_PART + (1 - COUNTS_LEAST_PART) * drawn)
-    count = sum(at > row.heard_at and now - at < counts_ms for at in reports.values())
+    count = sum(
+        at > row.last_byte_at and now - at < counts_ms for at in reports.values()
+    )
     return count >= WITNESSES
--- a/src/spanshunt/systems/tallies.py
+++ b/src/spanshunt/systems/tallies.py
@@ -57,14 +57,14 @@
     epoch = max(0, now - row.began) // EPOCH_MS
     row.own.routes.setdefault(EvidenceKey(route, entering, epoch), Tally()).add(seen)
     if _is_sampled(fleet, row, worker):
-        key = WorkerKey(worker.life, entering)
+        key = WorkerKey(worker.incarnation, entering)
         row.own.workers.setdefault(key, Tally()).add(seen)
 
 
 def _is_sampled(fleet: Fleet, row: RolloutRow, worker: WorkerRow) -> bool:
     """Tell whether a worker is counted by itself: the same ones on every box."""
     version = min(worker.versions, default=None)
-    alike = len(fleet.workers.able(row.service, version))
+    alike = len(fleet.workers.find_capable(row.service, version))
     if alike <= WORKERS_TOLD:
         return True
     return unit_hash("sample", str(row.order), worker.name) < WORKERS_TOLD / alike
--- a/src/spanshunt/systems/throttling.py
+++ b/src/spanshunt/systems/throttling.py
@@ -14,8 +14,8 @@
 from ..ids import ServiceId
 from ..ids import WorkerId
 from ..tables.fleet import Fleet
-from ..tables.notices import Grants
 from ..tables.notices import RateLimit
+from ..tables.notices import RateLimiter
 from ..tables.workers import WorkerRow
 from .fleet_size import box_count
 from .fleet_size import may_be_alone
@@ -69,7 +69,7 @@
         return False
     row.limit = limit
     if limit.per_s is None:
-        row.grants = None
+        row.rate_limiter = None
     else:
         _refresh(fleet, row, limit.per_s, now)
     return known is None or known.per_s != limit.per_s
@@ -86,13 +86,13 @@
 
 def forget_limit(row: WorkerRow, now: Millis) -> None:
     """Drop what a life of a worker said that has ended; what is told of it is older."""
-    row.limit = row.grants = None
-    row.words_from = now
+    row.limit = row.rate_limiter = None
+    row.notices_since = now
 
 
 def has_limits(fleet: Fleet, service: ServiceId) -> bool:
     """Tell whether any worker of a service names a limit."""
-    return any(is_limited(row) for row in fleet.workers.able(service, None))
+    return any(is_limited(row) for row in fleet.workers.find_capable(service, None))
 
 
 def grant_wait_ms(fleet: Fleet, row: WorkerRow, now: Millis, *, eager: bool) -> Millis:
@@ -101,7 +101,7 @@
     assert limit is not None
     assert limit.per_s is not None
     grants = _refresh(fleet, row, limit.per_s, now)
-    opens_at = grants.opens_at
+    opens_at = grants.next_grant_at
     if not may_be_alone(fleet, now):
         opens_at = max(opens_at, fleet.alone_until)
     wait_ms = 0 if eager else YOUNG_MS
@@ -112,7 +112,7 @@
     """Take in that this box sends a worker a request: it uses the oldest grant."""
     if row.limit is not None and row.limit.per_s is not None:
         grants = _refresh(fleet, row, row.limit.per_s, now)
-        grants.opens_at += grants.period_ms
+        grants.next_grant_at += grants.period_ms
 
 
 def newest_limits(fleet: Fleet, now: Millis) -> list[HeardLimit]:
@@ -134,25 +134,25 @@
     A word on another life of the worker, or on one that has ended, tells nothing.
     """
     row = fleet.workers.rows.get(worker)
-    if row is None or row.born != born or limit.at < row.words_from:
+    if row is None or row.started_at != born or limit.at < row.notices_since:
         return None
     return row if take_limit(fleet, row, limit, now) else None
 
 
-def _refresh(fleet: Fleet, row: WorkerRow, per_s: float, now: Millis) -> Grants:
+def _refresh(fleet: Fleet, row: WorkerRow, per_s: float, now: Millis) -> RateLimiter:
     """Return this box's grants at a worker as of now, for the rate and boxes of now."""
     rate = GRANTED_PART * max(LEAST_PER_S, per_s)
     period_ms = 1_000 * box_count(fleet) / rate
-    grants = row.grants
+    grants = row.rate_limiter
     if grants is None:
         opens_at = now + turn_of(fleet, f"limit {row.name}") * period_ms
-        grants = row.grants = Grants(opens_at, period_ms)
+        grants = row.rate_limiter = RateLimiter(opens_at, period_ms)
     if grants.period_ms != period_ms:
         # A grant that is not open yet keeps its place among those of the others.
-        left_ms = max(0.0, grants.opens_at - now)
-        grants.opens_at += left_ms * (period_ms / grants.period_ms - 1)
+        left_ms = max(0.0, grants.next_grant_at - now)
+        grants.next_grant_at += left_ms * (period_ms / grants.period_ms - 1)
         grants.period_ms = period_ms
-    unused_ms = now - GRANT_MS - grants.opens_at
+    unused_ms = now - GRANT_MS - grants.next_grant_at
     if unused_ms > 0:
-        grants.opens_at += math.ceil(unused_ms / period_ms) * period_ms
+        grants.next_grant_at += math.ceil(unused_ms / period_ms) * period_ms
     return grants
--- a/src/spanshunt/systems/timing.py
+++ b/src/spanshunt/systems/timing.py
@@ -56,7 +56,7 @@
 
 def is_alive(worker: WorkerRow, now: Millis) -> bool:
     """Tell whether a worker sent bytes on any request just now."""
-    return now - worker.heard_at < ALIVE_MS
+    return now - worker.last_byte_at < ALIVE_MS
 
 
 def usual_first_ms(fleet: Fleet, route: RouteRow, model: ModelId, read: int) -> float:
--- a/src/spanshunt/systems/watching.py
+++ b/src/spanshunt/systems/watching.py
@@ -67,7 +67,7 @@
         out.isdisjoint(worker.versions)
         and worker.name not in fleet.workers.leaving
         and worker.name not in fleet.missing
-        for worker in fleet.workers.able(row.service, None)
+        for worker in fleet.workers.find_capable(row.service, None)
     )
 
 
--- a/src/spanshunt/systems/worker_choice.py
+++ b/src/spanshunt/systems/worker_choice.py
@@ -45,7 +45,7 @@
     Of many workers only a random sample is looked at, so that the time taken does not
     grow with them. When no live one is left, an ejected one is better than none.
     """
-    able = workers.able(service, version)
+    able = workers.find_capable(service, version)
     if len(able) > WHOLE_VIEW:
         sample = _usable(workers, rng.sample(able, WHOLE_VIEW // 2), tried)
         live = [row for row in sample if row.state is WorkerState.LIVE]
@@ -75,7 +75,7 @@
     are exact. Others' part is taken at half, as some of it has ended by now and each
     of many boxes would else run from the same old report to the same worker.
     """
-    others = max(0, row.reported - row.inflight_at_report)
+    others = max(0, row.reported_inflight - row.own_inflight_at_report)
     return (row.inflight + _REMOTE_WEIGHT * others) / max(1, row.slots)
 
 
@@ -106,7 +106,7 @@
         duration = min(EJECT_MS * 2**doublings, EJECT_MAX_MS)
         row.state = WorkerState.EJECTED
         workers.ejected.add(row.name)
-        row.back_at = Millis(now + duration)
+        row.ejected_until = Millis(now + duration)
 
 
 def let_back(workers: Workers, now: Millis) -> None:
@@ -115,7 +115,7 @@
         row = workers.rows.get(name)
         if row is None or row.state is not WorkerState.EJECTED:
             workers.ejected.discard(name)
-        elif now >= row.back_at:
+        elif now >= row.ejected_until:
             workers.ejected.discard(name)
             row.state = WorkerState.LIVE
             row.failures = EJECT_AFTER - 1
--- a/src/spanshunt/systems/worker_health.py
+++ b/src/spanshunt/systems/worker_health.py
@@ -32,9 +32,9 @@
 
 def note_load(row: WorkerRow, load: Load, now: Millis) -> None:
     """Take a worker's own word of its load into its row."""
-    row.reported = load.running + load.waiting
+    row.reported_inflight = load.running + load.waiting
     row.queued = load.waiting
-    row.inflight_at_report = row.inflight
+    row.own_inflight_at_report = row.inflight
     row.slots = max(1, load.slots)
     row.reported_at = now
 
@@ -47,7 +47,7 @@
     row.error_rate += _ERROR_SMOOTHING * ((0.0 if good else 1.0) - row.error_rate)
     if good:
         row.failures = 0
-        row.back_at = Millis(0)
+        row.ejected_until = Millis(0)
         before = row.ttft_ms or first_ms
         row.ttft_ms = before + _TIME_SMOOTHING * (first_ms - before)
         return
@@ -64,4 +64,4 @@
 
 def _leave_out(row: WorkerRow, now: Millis) -> None:
     doublings = min(row.failures - 1, 4)
-    row.back_at = Millis(now + min(SUSPECT_MAX_MS, SUSPECT_MS * 2**doublings))
+    row.ejected_until = Millis(now + min(SUSPECT_MAX_MS, SUSPECT_MS * 2**doublings))
--- a/src/spanshunt/tables/engines.py
+++ b/src/spanshunt/tables/engines.py
@@ -16,12 +16,12 @@
     tokens: int
 
 
-class EngineSpeed(msgspec.Struct):
+class PrefillSpeed(msgspec.Struct):
     """How fast the engines of a service process prompts with a model.
 
     Attributes
     ----------
-    read_ms : float
+    token_ms : float
         Prefill time for one prompt token that is not cached, in ms.
     base_ms : float
         Time to the first event without prefill, in ms.
@@ -29,12 +29,12 @@
         Number of answers that the estimate is based on.
     """
 
-    read_ms: float
+    token_ms: float
     base_ms: float
     answers: int = 1
 
 
-class WritePace(msgspec.Struct):
+class DecodeSpeed(msgspec.Struct):
     """How fast the engines of a service generate tokens with a model.
 
     Attributes
@@ -49,7 +49,7 @@
     answers: int
 
 
-class PromptRead(msgspec.Struct, frozen=True):
+class RecentPrefill(msgspec.Struct, frozen=True):
     """A prompt that this box sent to an engine not known to have it cached.
 
     Attributes
@@ -70,7 +70,7 @@
     at: Millis
 
 
-class KeptParts(msgspec.Struct):
+class PromptCache(msgspec.Struct):
     """Prompt parts that an engine probably has cached, least recently used first.
 
     Attributes
--- a/src/spanshunt/tables/fleet.py
+++ b/src/spanshunt/tables/fleet.py
@@ -15,9 +15,9 @@
 from ..ids import ServiceId
 from ..ids import WorkerId
 from .catalog import Catalog
-from .engines import EngineSpeed
-from .engines import PromptRead
-from .engines import WritePace
+from .engines import DecodeSpeed
+from .engines import PrefillSpeed
+from .engines import RecentPrefill
 from .identity import Identity
 from .rollouts import Rollouts
 from .settings_state import SettingsRow
@@ -267,14 +267,14 @@
         price unit; above 0 while the retry budget is nearly used up.
     first_times : dict
         Usual times to the first byte by route name and model ("" where it has none).
-    speeds : dict
+    prefill_speeds : dict
         Prefill speed of engines, by service and model.
-    paces : dict
+    decode_speeds : dict
         Token generation speed of engines, by service and model.
-    unseen_kept : dict
+    unseen_cache_rates : dict
         How often an engine had a prompt cached of which this box did not know, by
         service and model, in 0 to 1.
-    prompts_read : deque of PromptRead
+    recent_prefills : deque of RecentPrefill
         The newest prompts that this box sent to engines not known to have them cached.
     lateness : dict
         Mean lateness of the newest answers, in 0 to 1, by service.
@@ -319,10 +319,10 @@
     models: dict[ModelId, ModelStats] = {}
     repeat_prices: dict[ServiceId, float] = {}
     first_times: dict[tuple[str, ModelId], FirstTimes] = {}
-    speeds: dict[tuple[ServiceId, ModelId], EngineSpeed] = {}
-    paces: dict[tuple[ServiceId, ModelId], WritePace] = {}
-    unseen_kept: dict[tuple[ServiceId, ModelId], float] = {}
-    prompts_read: collections.deque[PromptRead] = msgspec.field(
+    prefill_speeds: dict[tuple[ServiceId, ModelId], PrefillSpeed] = {}
+    decode_speeds: dict[tuple[ServiceId, ModelId], DecodeSpeed] = {}
+    unseen_cache_rates: dict[tuple[ServiceId, ModelId], float] = {}
+    recent_prefills: collections.deque[RecentPrefill] = msgspec.field(
         default_factory=lambda: collections.deque(maxlen=16)
     )
     lateness: dict[ServiceId, float] = {}
--- a/src/spanshunt/tables/notices.py
+++ b/src/spanshunt/tables/notices.py
@@ -8,7 +8,7 @@
 from ..ids import Millis
 
 
-class Word(enum.Enum):
+class NoticeKind(enum.Enum):
     """Kinds of notices that a worker sends about itself."""
 
     LIMIT = "limit"
@@ -16,10 +16,10 @@
     REST = "rest"
 
 
-class Flaw(msgspec.Struct, frozen=True):
+class InvalidNotice(msgspec.Struct, frozen=True):
     """An invalid notice: its kind, the value found and the values allowed."""
 
-    word: Word
+    kind: NoticeKind
     detail: str
 
 
@@ -36,18 +36,18 @@
     rest_ms : int or None
         How long the box whose request was turned away must send nothing to the worker,
         in ms; None if the answer does not ask for it.
-    flaws : tuple of Flaw
+    invalid : tuple of InvalidNotice
         Notices that are invalid.
     """
 
     per_s: float | None = None
     leaving: bool = False
     rest_ms: Millis | None = None
-    flaws: tuple[Flaw, ...] = ()
+    invalid: tuple[InvalidNotice, ...] = ()
 
-    def is_odd(self, word: Word) -> bool:
+    def is_invalid(self, word: NoticeKind) -> bool:
         """Return whether the notice of this kind is present and invalid."""
-        return any(flaw.word is word for flaw in self.flaws)
+        return any(flaw.kind is word for flaw in self.invalid)
 
 
 class RateLimit(msgspec.Struct, frozen=True):
@@ -69,30 +69,30 @@
     source: BoxId
 
 
-class Leaving(msgspec.Struct, frozen=True):
+class LeavingNotice(msgspec.Struct, frozen=True):
     """A worker's notice that it leaves: when it first arrived, in ms, at which box."""
 
     at: Millis
     source: BoxId
 
 
-class Rest(msgspec.Struct, frozen=True):
+class RestPeriod(msgspec.Struct, frozen=True):
     """The rest that a worker asked this box for: its start and end, in ms."""
 
     at: Millis
     until: Millis
 
 
-class Grants(msgspec.Struct):
+class RateLimiter(msgspec.Struct):
     """Limiter for this box's requests to a worker that names a rate limit.
 
     Attributes
     ----------
-    opens_at : float
+    next_grant_at : float
         When the oldest unused grant becomes or became valid, in ms.
     period_ms : float
         Time between two grants, in ms.
     """
 
-    opens_at: float
+    next_grant_at: float
     period_ms: float
--- a/src/spanshunt/tables/rollouts.py
+++ b/src/spanshunt/tables/rollouts.py
@@ -6,11 +6,11 @@
 
 from ..ids import DomainId
 from ..ids import Incarnation
-from ..ids import LifeId
 from ..ids import Millis
 from ..ids import Offset
 from ..ids import ServiceId
 from ..ids import VersionId
+from ..ids import WorkerIncarnation
 
 EPOCH_MS = 1_000
 """Length of the epochs in which answers are counted, in ms. The change test needs a few
@@ -91,7 +91,7 @@
 class WorkerKey(msgspec.Struct, frozen=True):
     """Key of a worker's tally: one run of it, and whether of the entering version."""
 
-    worker: LifeId
+    worker: WorkerIncarnation
     entering: bool
 
 
--- a/src/spanshunt/tables/suspects.py
+++ b/src/spanshunt/tables/suspects.py
@@ -4,10 +4,10 @@
 
 from ..ids import BoxId
 from ..ids import Fingerprint
-from ..ids import LifeId
 from ..ids import Millis
 from ..ids import ServiceId
 from ..ids import VersionId
+from ..ids import WorkerIncarnation
 
 SOUND_MS = 60_000
 """How long a complete answer clears a content, in ms. A content that crashes workers is
@@ -67,7 +67,7 @@
 
     fingerprint: Fingerprint
     service: ServiceId
-    ends: dict[LifeId, Millis] = {}
+    ends: dict[WorkerIncarnation, Millis] = {}
     versions: set[VersionId] = set()
     sound_at: Millis = Millis(-1)
     shared: bool = False
@@ -77,7 +77,7 @@
     recorded: bool = False
     dropped_at: Millis = Millis(-1)
 
-    def counted(self) -> dict[LifeId, Millis]:
+    def counted(self) -> dict[WorkerIncarnation, Millis]:
         """Return the ends later than `SOUND_MS` after the last complete answer."""
         since = self.sound_at + SOUND_MS if self.sound_at >= 0 else -1
         return {life: at for life, at in self.ends.items() if at > since}
--- a/src/spanshunt/tables/workers.py
+++ b/src/spanshunt/tables/workers.py
@@ -6,17 +6,17 @@
 
 from ..ids import BoxId
 from ..ids import DomainId
-from ..ids import LifeId
 from ..ids import Millis
 from ..ids import ServiceId
 from ..ids import VersionId
 from ..ids import WorkerId
-from .engines import KeptParts
-from .notices import Grants
-from .notices import Leaving
+from ..ids import WorkerIncarnation
+from .engines import PromptCache
+from .notices import LeavingNotice
+from .notices import NoticeKind
 from .notices import RateLimit
-from .notices import Rest
-from .notices import Word
+from .notices import RateLimiter
+from .notices import RestPeriod
 
 
 class WorkerState(enum.Enum):
@@ -46,9 +46,9 @@
         Whether the worker gets new requests.
     inflight : int
         Exact number of requests of this box that the worker is answering.
-    reported : int
+    reported_inflight : int
         Requests of all boxes in progress, by the worker's last report.
-    inflight_at_report : int
+    own_inflight_at_report : int
         Requests of this box in progress at the time of that report.
     slots : int
         Number of answers that fit in the worker's batch.
@@ -56,7 +56,7 @@
         When the last report came, in ms.
     failures : int
         Consecutive failures since the last success.
-    back_at : int
+    ejected_until : int
         Until when the worker is ejected, in ms.
     ttft_ms : float
         Moving mean of the time to the first byte, in ms.
@@ -66,50 +66,50 @@
         Moving mean of the share of answers that failed, in 0 to 1.
     queued : int
         Requests waiting at the worker, by its last report.
-    reading_ms : float
+    prefill_ms : float
         Prefill time of this box's requests that wait for their first event there, in
         ms.
-    told_ms : dict
+    peer_prefill_ms : dict
         The same for the requests of other boxes, as they report it: by box, the time in
         ms and when it was reported.
-    others_ms : float
+    unreported_prefill_ms : float
         Further prefill time of other boxes that they did not report, in ms; estimated
         from the times of answers.
-    others_at : int
+    unreported_prefill_at : int
         When that was last estimated, in ms.
-    kept : KeptParts
+    prompt_cache : PromptCache
         Prompt parts that the engine probably has cached.
     listed_at : int
         When a list last contained the worker, in ms.
-    heard_at : int
+    last_byte_at : int
         When the last byte arrived from the worker, on any request, in ms.
-    born : int
+    started_at : int
         When this run of the worker began, in ms since the Unix epoch, as the worker
         reports; 0 if it does not.
     ended_at : int
         When this box found that the worker ended, in ms; -1 while it runs.
-    returns : int
+    return_count : int
         How often the worker answered again after an end without a list entry for
         another run.
     cold_until : int
         Until when the worker is cold after its start, in ms.
-    cold_listed : bool
+    listed_cold : bool
         Whether the newest list says that the worker is cold.
     cold_sent_at : int
         When this box last sent a request to the cold worker, in ms; -1 for never.
     limit : RateLimit or None
         The newest rate limit that the worker announced; None if it never named one.
-    grants : Grants or None
+    rate_limiter : RateLimiter or None
         Limiter of this box's share of that rate; None without a limit.
-    words_from : int
+    notices_since : int
         Notices that arrived before this time are of an earlier run, in ms.
-    leaving : Leaving or None
+    leaving : LeavingNotice or None
         Notice that the worker leaves; None without one.
-    rest : Rest or None
+    rest : RestPeriod or None
         The longest rest that the worker asked this box for; None for none.
-    drain_listed : bool
+    listed_leaving : bool
         Whether its entry in the list says that the worker leaves.
-    odd_words : set of Word
+    invalid_notices : set of NoticeKind
         Kinds of invalid notices that were logged for the worker.
     """
 
@@ -120,48 +120,48 @@
     versions: frozenset[VersionId] = frozenset()
     state: WorkerState = WorkerState.LIVE
     inflight: int = 0
-    reported: int = 0
-    inflight_at_report: int = 0
+    reported_inflight: int = 0
+    own_inflight_at_report: int = 0
     slots: int = 16
     reported_at: Millis = Millis(0)
     failures: int = 0
-    back_at: Millis = Millis(0)
+    ejected_until: Millis = Millis(0)
     ttft_ms: float = 0.0
     token_ms: float = 0.0
     error_rate: float = 0.0
     queued: int = 0
-    reading_ms: float = 0.0
-    told_ms: dict[BoxId, tuple[float, Millis]] = {}
-    others_ms: float = 0.0
-    others_at: Millis = Millis(0)
-    kept: KeptParts = msgspec.field(default_factory=KeptParts)
+    prefill_ms: float = 0.0
+    peer_prefill_ms: dict[BoxId, tuple[float, Millis]] = {}
+    unreported_prefill_ms: float = 0.0
+    unreported_prefill_at: Millis = Millis(0)
+    prompt_cache: PromptCache = msgspec.field(default_factory=PromptCache)
     listed_at: Millis = Millis(0)
-    heard_at: Millis = Millis(0)
-    born: Millis = Millis(0)
+    last_byte_at: Millis = Millis(0)
+    started_at: Millis = Millis(0)
     ended_at: Millis = Millis(-1)
-    returns: int = 0
+    return_count: int = 0
     cold_until: Millis = Millis(0)
-    cold_listed: bool = False
+    listed_cold: bool = False
     cold_sent_at: Millis = Millis(-1)
     limit: RateLimit | None = None
-    grants: Grants | None = None
-    words_from: Millis = Millis(0)
-    leaving: Leaving | None = None
-    rest: Rest | None = None
-    drain_listed: bool = False
-    odd_words: set[Word] = set()
+    rate_limiter: RateLimiter | None = None
+    notices_since: Millis = Millis(0)
+    leaving: LeavingNotice | None = None
+    rest: RestPeriod | None = None
+    listed_leaving: bool = False
+    invalid_notices: set[NoticeKind] = set()
 
     @property
-    def has_words(self) -> bool:
+    def has_notices(self) -> bool:
         """Whether the worker sent any notice that holds for its run."""
         return any((self.limit, self.leaving, self.rest))
 
     @property
-    def life(self) -> LifeId:
+    def incarnation(self) -> WorkerIncarnation:
         """Identifies this run of the worker, as a name may be reused by a later run."""
-        start_suffix = f"/{self.born}" if self.born else ""
-        return_suffix = f"+{self.returns}" if self.returns else ""
-        return LifeId(f"{self.name}{start_suffix}{return_suffix}")
+        start_suffix = f"/{self.started_at}" if self.started_at else ""
+        return_suffix = f"+{self.return_count}" if self.return_count else ""
+        return WorkerIncarnation(f"{self.name}{start_suffix}{return_suffix}")
 
 
 class Workers(msgspec.Struct):
@@ -177,7 +177,7 @@
         Workers that are ejected because they failed too often.
     index : dict
         Workers by service and version, and by service with version None; see
-        :meth:`able`.
+        :meth:`find_capable`.
     former : dict
         Rows of workers that left the list after they had sent notices, oldest first.
     digest : int
@@ -191,7 +191,9 @@
     index: dict[tuple[ServiceId, VersionId | None], list[WorkerRow]] = {}
     digest: int = 0
 
-    def able(self, service: ServiceId, version: VersionId | None) -> list[WorkerRow]:
+    def find_capable(
+        self, service: ServiceId, version: VersionId | None
+    ) -> list[WorkerRow]:
         """Return the workers of `service` with `version` loaded, in any state."""
         if not self.index:
             for row in self.rows.values():
@@ -200,7 +202,7 @@
                     self.index.setdefault((row.service, held), []).append(row)
         return self.index.get((service, version), [])
 
-    def changed(self) -> None:
+    def invalidate_index(self) -> None:
         """Invalidate the index and the digest after a change to the workers."""
         self.index.clear()
         self.digest = 0
--- a/src/spanshunt/watchers.py
+++ b/src/spanshunt/watchers.py
@@ -94,7 +94,7 @@
         for name in set(table.rows) - set(workers):
             if table.rows[name].inflight == 0:
                 del table.rows[name]
-                table.changed()
+                table.invalidate_index()
                 table.leaving.discard(name)
             else:
                 table.leaving.add(name)
@@ -108,7 +108,7 @@
                 domain=listed.domain,
                 versions=frozenset(listed.versions),
             )
-            table.changed()
+            table.invalidate_index()
         if listed.state is BoxState.LEAVING:
             table.leaving.add(name)
 
@@ -121,14 +121,14 @@
                 report = msgspec.json.decode(await answer.read(), type=LoadReport)
         except (TimeoutError, aiohttp.ClientError, msgspec.MsgspecError):
             return
-        row.reported = report.running + report.waiting
-        row.inflight_at_report = min(before, row.inflight)
+        row.reported_inflight = report.running + report.waiting
+        row.own_inflight_at_report = min(before, row.inflight)
         row.slots = max(1, report.slots)
         row.reported_at = self._clock.now()
         held = frozenset(report.versions)
         if held and held != row.versions:
             row.versions = held
-            self._state.workers.changed()
+            self._state.workers.invalidate_index()
         if report.leaving and row.name not in self._state.workers.leaving:
             log_event("INFO", "worker leaves", worker=row.name)
             self._state.workers.leaving.add(row.name)
--- a/src/spanshunt/worker_notices.py
+++ b/src/spanshunt/worker_notices.py
@@ -21,11 +21,11 @@
 from .systems.throttling import take_limit
 from .systems.throttling import take_told_limit
 from .tables.fleet import Fleet
-from .tables.notices import Flaw
-from .tables.notices import Leaving
+from .tables.notices import InvalidNotice
+from .tables.notices import LeavingNotice
 from .tables.notices import Notice
+from .tables.notices import NoticeKind
 from .tables.notices import RateLimit
-from .tables.notices import Word
 from .tables.workers import WorkerRow
 
 WORDS_SHOWN = 4
@@ -42,7 +42,7 @@
     """
     if found.flaw or found.replaced:
         return
-    for flaw in found.notice.flaws:
+    for flaw in found.notice.invalid:
         _log_flaw(state, attempt.worker, flaw)
     _note_limit(core, state, attempt, found.notice)
     if found.notice.leaving:
@@ -55,7 +55,7 @@
     core: Core, state: CatalogRequest, attempt: CatalogAttempt, notice: Notice
 ) -> None:
     worker = attempt.worker
-    if notice.is_odd(Word.LIMIT):
+    if notice.is_invalid(NoticeKind.LIMIT):
         return
     if notice.per_s is None and not is_over(worker, attempt.sent):
         return
@@ -68,7 +68,7 @@
 
 def _note_leaving(core: Core, state: CatalogRequest, worker: WorkerRow) -> None:
     """Take in that a worker leaves, and tell peers: its entry may say so much later."""
-    word = Leaving(core.clock.now(), core.fleet.me.box)
+    word = LeavingNotice(core.clock.now(), core.fleet.me.box)
     if note_leaving(core.fleet, worker, word):
         core.count("workers_leaving")
         _log_leaving(worker, request=state.request)
@@ -91,11 +91,11 @@
     )
 
 
-def _log_flaw(state: CatalogRequest, worker: WorkerRow, flaw: Flaw) -> None:
+def _log_flaw(state: CatalogRequest, worker: WorkerRow, flaw: InvalidNotice) -> None:
     """Log the first word of its kind of a worker that can't be used."""
-    if flaw.word in worker.odd_words:
+    if flaw.kind in worker.invalid_notices:
         return
-    worker.odd_words.add(flaw.word)
+    worker.invalid_notices.add(flaw.kind)
     log_event(
         "WARNING",
         "worker's word can't be used",
@@ -113,7 +113,7 @@
         "worker leaves",
         worker=worker.name,
         source=worker.leaving.source,
-        listed=worker.drain_listed,
+        listed=worker.listed_leaving,
         request=request,
     )
 
@@ -177,8 +177,10 @@
     """Take in which workers told a peer, or one that it heard of, that they leave."""
     for told in news.leavings:
         row = fleet.workers.rows.get(told.worker)
-        if row is None or row.born != told.born:
+        if row is None or row.started_at != told.born:
             continue
         at = Millis((now if told_at is None else told_at) - told.age_ms)
-        if at >= row.words_from and note_leaving(fleet, row, Leaving(at, told.source)):
+        if at >= row.notices_since and note_leaving(
+            fleet, row, LeavingNotice(at, told.source)
+        ):
             _log_leaving(row)
--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -30,7 +30,7 @@
 from spanshunt.systems.estimating import Effort
 from spanshunt.systems.tallies import count
 from spanshunt.tables.catalog import ServiceRow
-from spanshunt.tables.engines import EngineSpeed
+from spanshunt.tables.engines import PrefillSpeed
 from spanshunt.tables.engines import PromptPart
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.identity import Identity
@@ -155,13 +155,13 @@
 ) -> None:
     """Let a box know how fast engines run a model."""
     key = (ServiceId("writer"), ModelId(model))
-    fleet.speeds[key] = EngineSpeed(read_ms, base_ms, 50)
+    fleet.prefill_speeds[key] = PrefillSpeed(read_ms, base_ms, 50)
 
 
 def add_worker(fleet: Fleet, row: WorkerRow) -> WorkerRow:
     """Put a worker into the table."""
     fleet.workers.rows[row.name] = row
-    fleet.workers.changed()
+    fleet.workers.invalidate_index()
     return row
 
 
--- a/tests/test_estimating.py
+++ b/tests/test_estimating.py
@@ -31,7 +31,7 @@
 from spanshunt.systems.placing import Wanted
 from spanshunt.systems.placing import place
 from spanshunt.systems.ramping import VersionRule
-from spanshunt.tables.engines import EngineSpeed
+from spanshunt.tables.engines import PrefillSpeed
 from spanshunt.tables.engines import PromptPart
 
 OWN = PromptPart("own", 1_000)
@@ -63,8 +63,8 @@
     fleet, row = a_fleet()
     effort = an_effort(read=read, shared=min(read, shared))
     idle = estimate_first(fleet, row, effort, now, owner=False)
-    row.reading_ms = waiting
-    row.told_ms[BoxId("box-2")] = (told, ms(0))
+    row.prefill_ms = waiting
+    row.peer_prefill_ms[BoxId("box-2")] = (told, ms(0))
     busy = estimate_first(fleet, row, effort, now, owner=False)
     assert 0.0 <= idle.first_ms <= busy.first_ms
     assert busy.own_ms == waiting
@@ -97,10 +97,10 @@
     for number in range(40):
         effort = an_effort(read=rng.randint(2_000, 20_000), shared=0)
         first_ms = 10.0 + 0.05 * factor * effort.read * rng.uniform(0.9, 1.2)
-        row.others_ms = 0.0
+        row.unreported_prefill_ms = 0.0
         answer(fleet, row, effort, first_ms, number)
     speed = speed_of(fleet, effort.service, effort.model)
-    assert speed.read_ms == pytest.approx(0.05 * factor, rel=0.25)
+    assert speed.token_ms == pytest.approx(0.05 * factor, rel=0.25)
 
 
 def test_wait_that_nobody_told_of_does_not_count_as_slow_reading():
@@ -108,11 +108,11 @@
     effort = an_effort(read=4_000, shared=0)
     rng = random.Random(5)
     for number in range(200):
-        row.others_ms = 0.0
+        row.unreported_prefill_ms = 0.0
         late = 900.0 if rng.random() < 0.25 else 0.0
         answer(fleet, row, effort, 210.0 + late, number)
     speed = speed_of(fleet, effort.service, effort.model)
-    assert speed.read_ms * 4_000 + speed.base_ms == pytest.approx(210.0, rel=0.3)
+    assert speed.token_ms * 4_000 + speed.base_ms == pytest.approx(210.0, rel=0.3)
 
 
 def test_late_answer_tells_of_others_and_is_forgotten():
@@ -127,7 +127,7 @@
 
 def test_what_a_peer_has_waiting_runs_off_by_itself():
     fleet, row = a_fleet()
-    row.told_ms[BoxId("box-2")] = (800.0, ms(1))
+    row.peer_prefill_ms[BoxId("box-2")] = (800.0, ms(1))
     effort = an_effort()
     waits = [
         estimate_first(fleet, row, effort, ms(at), owner=False).wait_ms
@@ -138,30 +138,30 @@
 
 def test_what_a_box_told_that_is_gone_is_forgotten():
     fleet, row = a_fleet()
-    row.told_ms[BoxId("gone")] = (800.0, ms(1))
+    row.peer_prefill_ms[BoxId("gone")] = (800.0, ms(1))
     forget_told(fleet, ms(1.5))
-    assert row.told_ms
+    assert row.peer_prefill_ms
     forget_told(fleet, ms(2))
-    assert not row.told_ms
+    assert not row.peer_prefill_ms
 
 
 def test_model_not_met_yet_is_slower_as_it_is_dearer():
     fleet, _ = a_fleet(read_ms=None)
     effort = an_effort("large")
-    assert speed_of(fleet, effort.service, effort.model).read_ms == 0.0
+    assert speed_of(fleet, effort.service, effort.model).token_ms == 0.0
     learn_speed(fleet, "small", read_ms=0.01)
-    assert speed_of(fleet, effort.service, effort.model).read_ms == pytest.approx(0.2)
+    assert speed_of(fleet, effort.service, effort.model).token_ms == pytest.approx(0.2)
 
 
 def test_boxes_come_to_agree_on_a_speed_and_a_new_one_takes_it_over():
     fleet, _ = a_fleet(read_ms=0.1)
     key = (ServiceId("writer"), ModelId("large"))
     for _ in range(30):
-        take_speed(fleet, *key, EngineSpeed(0.2, 30.0))
-    assert fleet.speeds[key].read_ms == pytest.approx(0.2, rel=0.05)
+        take_speed(fleet, *key, PrefillSpeed(0.2, 30.0))
+    assert fleet.prefill_speeds[key].token_ms == pytest.approx(0.2, rel=0.05)
     fresh = make_fleet()
-    take_speed(fresh, *key, EngineSpeed(0.2, 30.0))
-    assert fresh.speeds[key].read_ms == 0.2
+    take_speed(fresh, *key, PrefillSpeed(0.2, 30.0))
+    assert fresh.prefill_speeds[key].token_ms == 0.2
 
 
 def test_prompt_read_elsewhere_is_known_where_it_was_told():
@@ -186,8 +186,8 @@
     fleet, row = a_fleet()
     effort = an_effort(read=4_000, shared=3_000)
     for number in range(60):
-        row.others_ms = 0.0
-        row.kept.parts.clear()
+        row.unreported_prefill_ms = 0.0
+        row.prompt_cache.parts.clear()
         expected = estimate_first(fleet, row, effort, ms(number), owner=True)
         assert expected.unseen
         note_first_event(fleet, row, effort, expected, 110.0, ms(number))
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -105,7 +105,10 @@
         async with running_fleet() as fleet:
             reply = await fleet.ask(fleet.boxes[0], "/long/", Prompt_Prefix=parts)
             assert reply.status == 200
-            kept = [row.kept for row in fleet.boxes[0].node.fleet.workers.rows.values()]
+            kept = [
+                row.prompt_cache
+                for row in fleet.boxes[0].node.fleet.workers.rows.values()
+            ]
             assert sum(one.tokens for one in kept) in (1_000, 2_000)
 
     async def test_full_workers_are_a_true_refusal(self):
@@ -213,7 +216,7 @@
                 )
                 assert reply.status == 200, number
             rows = fleet.boxes[0].node.fleet.workers.rows
-            assert {rows[name].back_at for name in ("p-1", "p-2")} == {0}
+            assert {rows[name].ejected_until for name in ("p-1", "p-2")} == {0}
 
     async def test_replaced_worker_gets_nothing_more(self):
         async with running_fleet() as fleet:
@@ -237,7 +240,7 @@
                 fleet.ask(box, "/view/", Attempt_Id="held", Deadline_Ms="900")
             )
             out = "p-1 is left out while its answer is waited for"
-            await until(lambda: rows[WorkerId("p-1")].back_at > 0, out, 0.8)
+            await until(lambda: rows[WorkerId("p-1")].ejected_until > 0, out, 0.8)
             rows[WorkerId("p-2")].inflight = 0
             for number in range(8):
                 reply = await fleet.ask(box, "/view/", Attempt_Id=f"n{number}")
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -7,7 +7,7 @@
 from spanshunt.systems.keeping import PARTS_MOST
 from spanshunt.systems.keeping import kept_tokens
 from spanshunt.systems.keeping import note_read
-from spanshunt.tables.engines import KeptParts
+from spanshunt.tables.engines import PromptCache
 from spanshunt.tables.engines import PromptPart
 
 SMALL, LARGE = ModelId("small"), ModelId("large")
@@ -15,7 +15,7 @@
 
 
 def test_part_counts_only_with_every_part_before_it():
-    kept = KeptParts()
+    kept = PromptCache()
     note_read(kept, LARGE, [LEAF], 0.0)
     assert kept_tokens(kept, LARGE, [ROOT, LEAF]) == 0
     note_read(kept, LARGE, [ROOT, LEAF], 0.0)
@@ -23,13 +23,13 @@
 
 
 def test_each_model_reads_for_itself():
-    kept = KeptParts()
+    kept = PromptCache()
     note_read(kept, SMALL, [ROOT], 0.0)
     assert kept_tokens(kept, LARGE, [ROOT]) == 0
 
 
 def test_longest_unused_part_gives_way_first():
-    kept = KeptParts()
+    kept = PromptCache()
     for name in ("a", "b", "a", "c"):
         note_read(kept, LARGE, [PromptPart(name, 400)], 1_000.0)
     found = [name for name in "abc" if kept_tokens(kept, LARGE, [PromptPart(name, 1)])]
@@ -43,7 +43,7 @@
 
 @given(reads, st.sampled_from([0.0, 4_000.0, 60_000.0]))
 def test_memory_is_bounded_and_its_sum_is_right(given_reads, capacity):
-    kept = KeptParts()
+    kept = PromptCache()
     for name, tokens in given_reads:
         note_read(kept, LARGE, [PromptPart(str(name), tokens)], capacity)
         assert kept.tokens == sum(kept.parts.values())
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -27,10 +27,10 @@
 from spanshunt.ids import DomainId
 from spanshunt.ids import Fingerprint
 from spanshunt.ids import Incarnation
-from spanshunt.ids import LifeId
 from spanshunt.ids import Millis
 from spanshunt.ids import ServiceId
 from spanshunt.ids import VersionId
+from spanshunt.ids import WorkerIncarnation
 from spanshunt.peers.news import News
 from spanshunt.peers.news import RolloutNews
 from spanshunt.platform.store import StoreClient
@@ -351,7 +351,7 @@
         kept = fleet.store.copy()
         node = fleet.boxes[0].node
         now = node.clock.now()
-        lives = [LifeId(f"w-{n}") for n in range(ENDS_MOST)]
+        lives = [WorkerIncarnation(f"w-{n}") for n in range(ENDS_MOST)]
         row = Suspect(Fingerprint("f" * 16), SERVICE, ends=dict.fromkeys(lives, now))
         row.kept_at, row.kept_by, row.shared = now, node.fleet.me.box, True
         row.changed_at = now
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -80,7 +80,7 @@
     found = chosen(fleet, effort=prompt(), aim_ms=ms(2))
     assert len(found) == 1
     owner = next(iter(found))
-    fleet.workers.rows[owner].reading_ms = 400.0
+    fleet.workers.rows[owner].prefill_ms = 400.0
     assert owner not in chosen(fleet, effort=prompt(), aim_ms=ms(2))
 
 
@@ -105,7 +105,7 @@
     learn_speed(fleet, "large", read_ms=0.1)
     owner = next(iter(chosen(fleet, effort=prompt(), aim_ms=ms(2))))
     other = ({"a", "b"} - {owner}).pop()
-    fleet.workers.rows[owner].told_ms[BoxId("box-2")] = (900.0, ms(0))
+    fleet.workers.rows[owner].peer_prefill_ms[BoxId("box-2")] = (900.0, ms(0))
     assert set(chosen(fleet, effort=prompt(), aim_ms=ms(2))) == {other}
 
 
@@ -142,7 +142,7 @@
     row = fleet.workers.rows["a"]
     note_unreached(row, ms(1))
     note_answer(row, 10.0, good=True, now=ms(1.1))
-    assert row.back_at == 0
+    assert row.ejected_until == 0
 
 
 def test_report_loses_weight_with_age_and_does_not_count_own_twice():
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -31,7 +31,7 @@
     fleet = make_fleet(box)
     for name in ("p-1", "p-2"):
         fleet.workers.rows[WorkerId(name)] = make_worker(name, service="web")
-    fleet.workers.changed()
+    fleet.workers.invalidate_index()
     return fleet
 
 
@@ -58,7 +58,7 @@
     fleet = a_fleet()
     report(fleet, "box-2", 1.0)
     report(fleet, "box-3", 1.1)
-    fleet.workers.rows[MUTE].heard_at = ms(1.15)
+    fleet.workers.rows[MUTE].last_byte_at = ms(1.15)
     assert silent_workers(fleet, ms(1.2)) == set()
 
 
--- a/tests/test_throttling.py
+++ b/tests/test_throttling.py
@@ -244,7 +244,7 @@
     fleet, row = limited(at_s=1.0)
     note_end(fleet, row, ms(2))
     assert not is_limited(row)
-    told = LimitNews(row.name, row.born, 1.7, 3_000, BoxId("box-3"))
+    told = LimitNews(row.name, row.started_at, 1.7, 3_000, BoxId("box-3"))
     take_limit_news(fleet, told_news(fleet, told), ms(4), ms(4))
     assert not is_limited(row)
 
@@ -269,7 +269,7 @@
 def test_told_word_of_another_life_or_an_unknown_worker_tells_nothing():
     fleet = fleet_of("box-1", 2)
     row = fleet.workers.rows[WorkerId("w-1")]
-    row.born = Millis(200)
+    row.started_at = Millis(200)
     for name, born in (("w-1", 100), ("w-9", 200)):
         told = LimitNews(WorkerId(name), born, 1.0, 0, BoxId("box-2"))
         take_limit_news(fleet, told_news(fleet, told), ms(1), ms(1))
--- a/tests/test_worker_entries.py
+++ b/tests/test_worker_entries.py
@@ -55,10 +55,10 @@
 def test_entry_tells_which_life_of_a_worker_it_is():
     row = decoded()
     assert row is not None
-    assert row.life == "w-1/1769815722207"
+    assert row.incarnation == "w-1/1769815722207"
     old = decoded(born=None)
     assert old is not None
-    assert old.life == "w-1"
+    assert old.incarnation == "w-1"
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
 
 def _life(born: int) -> WorkerRow:
     row = make_worker("w-1")
-    row.born = Millis(born)
+    row.started_at = Millis(born)
     return row
 
 
@@ -118,8 +118,8 @@
     change = take_list(fleet, [ListedWorker(_life(2_000), False)], Offset(2), ms(3))
     row = fleet.workers.rows[WorkerId("w-1")]
     assert change.came == ("w-1",)
-    assert row.inflight == row.reported == row.failures == 0
-    assert row.error_rate == 0.0 and row.back_at == 0
+    assert row.inflight == row.reported_inflight == row.failures == 0
+    assert row.error_rate == 0.0 and row.ejected_until == 0
     assert row.name not in fleet.workers.leaving
     former.inflight -= 1
     assert row.inflight == 0
@@ -132,7 +132,7 @@
     take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(2), ms(2))
     take_list(fleet, [ListedWorker(_life(0), False)], Offset(3), ms(3))
     row = fleet.workers.rows[WorkerId("w-1")]
-    assert row.inflight == 2 and row.born == 1_000
+    assert row.inflight == 2 and row.started_at == 1_000
 
 
 def test_peers_tell_which_life_it_is():
@@ -140,7 +140,7 @@
     take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
     told = [told_worker(item) for item in workers_news(fleet, ms(1))]
     take_list(peer, told, Offset(1), ms(1))
-    assert peer.workers.rows[WorkerId("w-1")].life == "w-1/1000"
+    assert peer.workers.rows[WorkerId("w-1")].incarnation == "w-1/1000"
 
 
 def test_what_was_believed_of_a_worker_ends_with_it():
@@ -148,15 +148,17 @@
     take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
     row = fleet.workers.rows[WorkerId("w-1")]
     note_load(row, Load(7, 2, 8), ms(1))
-    row.kept.parts["large/p1"] = 500
+    row.prompt_cache.parts["large/p1"] = 500
     note_end(fleet, row, ms(2))
-    assert row.reported == row.queued == 0
-    assert not row.kept.parts
+    assert row.reported_inflight == row.queued == 0
+    assert not row.prompt_cache.parts
 
 
 def _ended(fleet: Fleet, *rows: WorkerRow, end: int = 2) -> list[str]:
     listed = [ListedWorker(row, False) for row in rows]
-    return [row.life for row in take_list(fleet, listed, Offset(end), ms(end)).ended]
+    return [
+        row.incarnation for row in take_list(fleet, listed, Offset(end), ms(end)).ended
+    ]
 
 
 def test_list_shows_that_a_worker_ended():
@@ -184,12 +186,12 @@
     fleet = make_fleet()
     take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
     row = fleet.workers.rows[WorkerId("w-1")]
-    first = row.life
+    first = row.incarnation
     note_end(fleet, row, ms(2))
-    assert row.life == first
+    assert row.incarnation == first
     note_return(fleet, row, ms(3))
     note_end(fleet, row, ms(3))
-    assert row.life != first
+    assert row.incarnation != first
 
 
 def test_silence_of_a_former_life_does_not_count():
