--- a/bench/ends.py
+++ b/bench/ends.py
@@ -200,8 +200,8 @@
     kept = {
         content
         for box in play.boxes.values()
-        for content, row in box.fleet.suspects.items()
-        if row.kept_at >= 0
+        for content, row in box.fleet.suspect_requests.items()
+        if row.quarantined_at >= 0
     }
     during = [asked for asked in play.asked if asked.at >= FIRST_S]
     return EndsOutcome(
--- a/bench/play_fleet.py
+++ b/bench/play_fleet.py
@@ -59,7 +59,7 @@
 from spanshunt.tables.fleet import ColdBounds
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.identity import Identity
-from spanshunt.tables.rollouts import ExposeBounds
+from spanshunt.tables.rollouts import ExposureBounds
 from spanshunt.tables.workers import WorkerRow
 from spanshunt.utils import unit_hash
 from spanshunt.worker_probes import Presence
@@ -165,7 +165,7 @@
         self.fleet = Fleet(me=me)
         self.fleet.rollouts.bounds = play.bounds
         self.fleet.cold_bounds = play.cold
-        self.fleet.alone_until = Millis(clock.now() + ALONE_MS)
+        self.fleet.discovery_until = Millis(clock.now() + ALONE_MS)
         rng = random.Random(play.rng.random())
         self.store = PlayStore(play.store)
         self.core = Core(
@@ -243,7 +243,7 @@
     """
 
     rng: random.Random
-    bounds: ExposeBounds = field(default_factory=lambda: ExposeBounds(0.15, 30.0))
+    bounds: ExposureBounds = field(default_factory=lambda: ExposureBounds(0.15, 30.0))
     repeats: RepeatBounds = field(
         default_factory=lambda: RepeatBounds(ratio=0.9, slack=54.0)
     )
--- a/src/spanshunt/attempt_outcomes.py
+++ b/src/spanshunt/attempt_outcomes.py
@@ -177,7 +177,7 @@
         first_ms=first_ms,
         expected_ms=round(expected.first_ms),
         unread=round(expected.unread),
-        token_us=round(1_000 * speed.token_ms, 1),
+        token_us=round(1_000 * speed.read_ms, 1),
         base_ms=round(speed.base_ms),
         unseen=expected.unseen,
         spent_ms=now - state.began,
--- a/src/spanshunt/break_causes.py
+++ b/src/spanshunt/break_causes.py
@@ -9,7 +9,7 @@
 from .systems.ending import note_end
 from .systems.quarantining import newly_kept
 from .systems.quarantining import note_end_under
-from .tables.suspects import Break
+from .tables.suspects import BrokenConnection
 from .tables.workers import WorkerRow
 from .worker_probes import Presence
 
@@ -23,7 +23,7 @@
         return
     worker = attempt.worker
     now = core.clock.now()
-    broke = Break(state.fingerprint, attempt.service, now)
+    broke = BrokenConnection(state.fingerprint, attempt.service, now)
     note_break(core.fleet, worker, broke)
     if worker.ended_at >= attempt.sent:
         take_end(core, worker, "known before")
--- a/src/spanshunt/catalog_entry.py
+++ b/src/spanshunt/catalog_entry.py
@@ -68,9 +68,9 @@
 
 async def _await_news(core: Core) -> None:
     """Wait for a peer or the store just after the box woke, while that may come."""
-    left_ms = core.fleet.stale_until - core.clock.now()
+    left_ms = core.fleet.wake_hold_until - core.clock.now()
     for _ in range(int(left_ms / (1_000 * STALE_STEP_S)) + 1):
-        if core.clock.now() >= core.fleet.stale_until:
+        if core.clock.now() >= core.fleet.wake_hold_until:
             return
         await asyncio.sleep(STALE_STEP_S)
 
--- a/src/spanshunt/exchange.py
+++ b/src/spanshunt/exchange.py
@@ -67,8 +67,8 @@
 from .tables.fleet import PeerRow
 from .tables.rollouts import RolloutRow
 from .tables.rollouts import Verdict
-from .tables.settings_state import ToldSettings
-from .tables.suspects import Suspect
+from .tables.settings_state import PeerSettings
+from .tables.suspects import SuspectRequest
 from .tables.workers import WorkerRow
 from .worker_notices import take_leaving_news
 from .worker_notices import take_limit_news
@@ -136,7 +136,7 @@
         on_newer: t.Callable[[], None],
         seeds: tuple[str, ...],
         talks: Talks[News] | None = None,
-        on_kept: t.Callable[[Suspect, str], None] = lambda _row, _source: None,
+        on_kept: t.Callable[[SuspectRequest, str], None] = lambda _row, _source: None,
         on_ended: t.Callable[[WorkerRow], None] = lambda _row: None,
     ) -> None:
         self._fleet = fleet
@@ -190,7 +190,7 @@
         """
         fleet = self._fleet
         now = self._clock.now()
-        readings = fleet.readings
+        readings = fleet.list_read_streak
         digest = list_digest(fleet)
         wants_list = (
             asker is not None
@@ -219,7 +219,7 @@
                 fleet, now, asker.kept_digest if asker is not None else None
             ),
             kept_digest=kept_digest(fleet),
-            kept_known=fleet.kept_known,
+            kept_known=fleet.quarantine_known,
             followers=named_followers(fleet, now) if domain == fleet.me.domain else (),
             limits=limits_news(fleet, now),
             leavings=leavings_news(fleet, now),
@@ -261,7 +261,7 @@
         fleet = self._fleet
         if news.box == fleet.me.box:
             return
-        fleet.stale_until = Millis(0)
+        fleet.wake_hold_until = Millis(0)
         if take_era(fleet, news.store_era, now):
             log_older_store(fleet, news.box)
         told_before = newest_told(fleet)
@@ -287,7 +287,7 @@
             if newly_kept(fleet, row, now):
                 self._on_kept(row, news.box)
         if news.kept_known and news.kept_digest == kept_digest(fleet):
-            fleet.kept_known = True
+            fleet.quarantine_known = True
         take_engine_news(fleet, news, now)
         take_limit_news(fleet, news, told_at, now)
         take_leaving_news(fleet, news, told_at, now)
@@ -339,7 +339,7 @@
 
     def _take_peers(self, news: News, now: Millis) -> None:
         peers = self._fleet.peers
-        self._fleet.boxes_told = max(self._fleet.boxes_told, news.boxes)
+        self._fleet.reported_box_count = max(self._fleet.reported_box_count, news.boxes)
         row = peers.get(news.box)
         if row is None:
             row = peers[news.box] = PeerRow(news.box, news.address)
@@ -351,7 +351,7 @@
         row.catalog_version = news.catalog_version
         row.heard, row.failures = now, 0
         row.followers = news.followers
-        row.settings = ToldSettings(
+        row.settings = PeerSettings(
             digest=news.settings_digest,
             since=Millis(now - news.settings_age_ms),
             refused=news.settings_refused,
@@ -372,7 +372,7 @@
                 "INFO",
                 "worker told silent",
                 worker=worker,
-                by=sorted(fleet.silences[worker]),
+                by=sorted(fleet.silence_reports[worker]),
                 age_ms=told.age_ms,
                 source=news.box,
             )
@@ -459,8 +459,11 @@
 def _take_against(row: RolloutRow, item: AgainstNews) -> None:
     """Take in the suspicion that is recorded: the strongest one is the newest."""
     told = told_against(item)
-    if row.against is None or told.log_evidence > row.against.log_evidence:
-        row.against = told
+    if (
+        row.recorded_suspicion is None
+        or told.log_evidence > row.recorded_suspicion.log_evidence
+    ):
+        row.recorded_suspicion = told
 
 
 def _is_due(peer: PeerRow, now: Millis) -> bool:
--- a/src/spanshunt/fleet_report.py
+++ b/src/spanshunt/fleet_report.py
@@ -29,9 +29,9 @@
 from .tables.fleet import Fleet
 from .tables.fleet import PeerRow
 from .tables.rollouts import RolloutRow
+from .tables.settings_state import PeerSettings
 from .tables.settings_state import SettingsRow
-from .tables.settings_state import ToldSettings
-from .tables.suspects import Suspect
+from .tables.suspects import SuspectRequest
 from .tables.workers import WorkerRow
 
 FLEET_PATH = "/fleet"
@@ -274,7 +274,7 @@
     if barred is not None:
         return f"its version was taken back before {barred}"
     if is_silent(fleet, row.name, now):
-        boxes = ", ".join(sorted(fleet.silences[row.name]))
+        boxes = ", ".join(sorted(fleet.silence_reports[row.name]))
         return f"silent to {boxes}"
     if is_emptied(fleet, row.domain):
         return f"operators emptied {row.domain}"
@@ -289,7 +289,7 @@
     if limit is not None and limit.per_s is not None:
         age = now - limit.at
         return f"takes {limit.per_s} a second; {limit.source} heard it {age} ms ago"
-    if row.name in fleet.missing:
+    if row.name in fleet.missing_workers:
         return "kept, though its entry lapsed with the store"
     return ""
 
@@ -326,14 +326,14 @@
     )
 
 
-def _kept_back(row: Suspect, now: Millis) -> KeptBackView:
+def _kept_back(row: SuspectRequest, now: Millis) -> KeptBackView:
     return KeptBackView(
         fingerprint=row.fingerprint,
         service=row.service,
-        ends=tuple(sorted(row.counted())),
+        ends=tuple(sorted(row.counted_ends())),
         versions=tuple(sorted(row.versions)),
         last_end_ms=_since(row.last_end(), now),
-        found_by=row.kept_by,
+        found_by=row.quarantined_by,
         recorded=row.recorded,
     )
 
@@ -373,7 +373,7 @@
     )
 
 
-def _settings_file(told: ToldSettings) -> str:
+def _settings_file(told: PeerSettings) -> str:
     """Return what is wrong with a box's newest settings file; empty for nothing."""
     if told.refused:
         return "refused"
--- a/src/spanshunt/keeping_back.py
+++ b/src/spanshunt/keeping_back.py
@@ -6,10 +6,10 @@
 from .refusals import Problem
 from .refusals import Refusal
 from .refusals import Run
-from .tables.suspects import Suspect
+from .tables.suspects import SuspectRequest
 
 
-def keep_back(core: Core, row: Suspect, source: str) -> None:
+def keep_back(core: Core, row: SuspectRequest, source: str) -> None:
     """Stop the requests of a content that are under way here, and tell peers at once.
 
     What waits at a worker is withdrawn before it begins: in a busy engine's queue one
@@ -27,7 +27,7 @@
         "content kept back",
         fingerprint=row.fingerprint,
         service=row.service,
-        ends=sorted(row.counted()),
+        ends=sorted(row.counted_ends()),
         versions=sorted(row.versions),
         under_way=len(copies),
         source=source,
@@ -37,10 +37,10 @@
     core.tell_now()
 
 
-def kept_back_refusal(row: Suspect, *, ran: bool) -> Refusal:
+def kept_back_refusal(row: SuspectRequest, *, ran: bool) -> Refusal:
     """Return the final answer to a request whose content is kept back."""
     detail = (
-        f"not sent on: {len(row.counted())} workers ended under this content "
+        f"not sent on: {len(row.counted_ends())} workers ended under this content "
         f"({row.fingerprint}); asking again as it is leads nowhere"
     )
     return Refusal(Problem.KEPT_BACK, detail, Run.UNKNOWN if ran else Run.NO)
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -13,15 +13,15 @@
 from ..tables.fleet import EvacuationRow
 from ..tables.fleet import Fleet
 from ..tables.rollouts import EPOCH_MS
-from ..tables.rollouts import Against
-from ..tables.rollouts import EvidenceKey
 from ..tables.rollouts import Finding
+from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Tallies
 from ..tables.rollouts import Tally
+from ..tables.rollouts import TallyKey
 from ..tables.rollouts import Verdict
-from ..tables.rollouts import WorkerKey
-from ..tables.suspects import Suspect
+from ..tables.rollouts import WorkerTallyKey
+from ..tables.suspects import SuspectRequest
 from ..tables.workers import WorkerRow
 from .news import AgainstNews
 from .news import EvacuationNews
@@ -61,11 +61,11 @@
             versions=tuple(row.versions),
             slots=row.slots,
             draining=is_listed_leaving(fleet, row),
-            born=row.started_at,
+            born=row.born,
             cold_ms=max(0, row.cold_until - now) if row.listed_cold else 0,
         )
         for row in fleet.workers.rows.values()
-        if row.name not in fleet.missing
+        if row.name not in fleet.missing_workers
     )
 
 
@@ -78,7 +78,7 @@
         domain=item.domain,
         versions=frozenset(item.versions),
         slots=item.slots,
-        started_at=Millis(item.born),
+        born=Millis(item.born),
     )
     return ListedWorker(row, draining=item.draining, cold_ms=Millis(item.cold_ms))
 
@@ -110,20 +110,22 @@
         full_from_ms=row.full_from_ms,
         turned_bad=row.turned_bad,
         announced=row.announced,
-        against=_against_news(row.against),
+        against=_against_news(row.recorded_suspicion),
     )
 
 
-def _against_news(known: Against | None) -> AgainstNews | None:
+def _against_news(known: RecordedSuspicion | None) -> AgainstNews | None:
     if known is None:
         return None
     finding = known.finding.value
     return AgainstNews(known.route, finding, known.log_evidence, known.epoch)
 
 
-def told_against(told: AgainstNews) -> Against:
+def told_against(told: AgainstNews) -> RecordedSuspicion:
     """Return a told suspicion as a row has it."""
-    return Against(told.route, Finding(told.finding), told.log_evidence, told.epoch)
+    return RecordedSuspicion(
+        told.route, Finding(told.finding), told.log_evidence, told.epoch
+    )
 
 
 def _groups(
@@ -137,15 +139,15 @@
         running = {peer.incarnation for peer in fleet.peers.values()}
         groups += [
             _group(me.domain, ended, tallies, epochs)
-            for ended, tallies in row.near.items()
+            for ended, tallies in row.same_domain.items()
             if ended not in running
         ]
     if hearer != me.domain:
-        total = add_up(row.own, *row.near.values())
+        total = add_up(row.own, *row.same_domain.values())
         groups.append(_group(me.domain, Incarnation(""), total, epochs))
     groups += [
         _group(domain, Incarnation(""), tallies, epochs)
-        for domain, tallies in row.far.items()
+        for domain, tallies in row.other_domains.items()
         if domain != hearer
     ]
     return groups
@@ -204,20 +206,20 @@
     near = group.domain == me.domain
     if near != bool(group.box) or group.box == me.incarnation:
         return
-    row.changes += 1
+    row.change_count += 1
     into = (
-        row.near.setdefault(group.box, Tallies())
+        row.same_domain.setdefault(group.box, Tallies())
         if near
-        else row.far.setdefault(group.domain, Tallies())
+        else row.other_domains.setdefault(group.domain, Tallies())
     )
     for told in group.tallies:
-        key = EvidenceKey(told.route, told.entering, told.epoch)
+        key = TallyKey(told.route, told.entering, told.epoch)
         tally = Tally(told.answers, told.failed, told.timed, told.slow)
-        into.routes.setdefault(key, Tally()).raise_to(tally)
+        into.routes.setdefault(key, Tally()).merge(tally)
     for item in group.workers:
-        worker = WorkerKey(item.worker, item.entering)
+        worker = WorkerTallyKey(item.worker, item.entering)
         tally = Tally(item.answers, item.failed, item.timed, item.slow)
-        into.workers.setdefault(worker, Tally()).raise_to(tally)
+        into.workers.setdefault(worker, Tally()).merge(tally)
 
 
 def speeds_news(fleet: Fleet) -> tuple[SpeedNews, ...]:
@@ -226,7 +228,7 @@
     for (service, model), speed in fleet.prefill_speeds.items():
         pace = fleet.decode_speeds.get((service, model))
         gap_ms = pace.gap_ms if pace is not None else 0.0
-        told.append(SpeedNews(service, model, speed.token_ms, speed.base_ms, gap_ms))
+        told.append(SpeedNews(service, model, speed.read_ms, speed.base_ms, gap_ms))
     return tuple(told)
 
 
@@ -252,7 +254,7 @@
     return tuple(
         LimitNews(
             worker=heard.worker.name,
-            born=heard.worker.started_at,
+            born=heard.worker.born,
             per_s=-1.0 if heard.limit.per_s is None else heard.limit.per_s,
             age_ms=now - heard.limit.at,
             source=heard.limit.source,
@@ -264,7 +266,7 @@
 def leavings_news(fleet: Fleet, now: Millis) -> tuple[LeavingNews, ...]:
     """Return which workers said that they leave, the newest first."""
     said = [
-        LeavingNews(row.name, row.started_at, now - row.leaving.at, row.leaving.source)
+        LeavingNews(row.name, row.born, now - row.leaving.at, row.leaving.source)
         for row in fleet.workers.rows.values()
         if row.leaving is not None and not row.listed_leaving
     ]
@@ -294,23 +296,23 @@
             service=row.service,
             versions=tuple(row.versions),
             ends=tuple((life, now - at) for life, at in row.ends.items()),
-            sound_age_ms=now - row.sound_at if row.sound_at >= 0 else -1,
-            kept_by=row.kept_by,
+            sound_age_ms=now - row.cleared_at if row.cleared_at >= 0 else -1,
+            kept_by=row.quarantined_by,
             recorded=row.recorded,
         )
         for row in told_suspects(fleet, now, hearer_digest)
     )
 
 
-def told_suspect(item: SuspectNews, now: Millis) -> Suspect:
+def told_suspect(item: SuspectNews, now: Millis) -> SuspectRequest:
     """Return a told content as a row."""
     sound = item.sound_age_ms
-    return Suspect(
+    return SuspectRequest(
         fingerprint=item.fingerprint,
         service=item.service,
         ends={life: Millis(now - age) for life, age in item.ends},
         versions=set(item.versions),
-        sound_at=Millis(now - sound if sound >= 0 else -1),
-        kept_by=item.kept_by,
+        cleared_at=Millis(now - sound if sound >= 0 else -1),
+        quarantined_by=item.kept_by,
         recorded=item.recorded,
     )
--- a/src/spanshunt/planning.py
+++ b/src/spanshunt/planning.py
@@ -109,14 +109,14 @@
 
 def _kept_back(core: Core, state: CatalogRequest) -> Refusal | None:
     """Return a refusal if the request's content is kept back."""
-    if state.fingerprint not in core.fleet.suspects:
+    if state.fingerprint not in core.fleet.suspect_requests:
         return None
     now = core.clock.now()
     if may_be_sent(
         core.fleet, state.fingerprint, now, under_way=_is_under_way(core, state)
     ):
         return None
-    row = core.fleet.suspects[state.fingerprint]
+    row = core.fleet.suspect_requests[state.fingerprint]
     return kept_back_refusal(row, ran=state.runs > 0)
 
 
--- a/src/spanshunt/platform/bounds.py
+++ b/src/spanshunt/platform/bounds.py
@@ -5,7 +5,7 @@
 from ..systems.repeats import RepeatBounds
 from ..tables.fleet import ColdBounds
 from ..tables.fleet import Fleet
-from ..tables.rollouts import ExposeBounds
+from ..tables.rollouts import ExposureBounds
 from .settings import NodeBounds
 from .settings import NodeSettings
 
@@ -14,7 +14,7 @@
     """Put into the tables what settings tell of the fleet."""
     bounds = settings.bounds
     fleet.cold_bounds = ColdBounds(bounds.cold_over, bounds.cold_slack)
-    fleet.rollouts.bounds = ExposeBounds(bounds.expose_share, bounds.expose_slack)
+    fleet.rollouts.bounds = ExposureBounds(bounds.expose_share, bounds.expose_slack)
     fleet.regions = {
         DomainId(domain): RegionId(region)
         for domain, region in settings.regions.items()
--- a/src/spanshunt/platform/box_list.py
+++ b/src/spanshunt/platform/box_list.py
@@ -78,7 +78,7 @@
 
     def _knows_all(self) -> bool:
         """Tell whether peers told of all boxes already."""
-        return 1 < self._fleet.boxes_told <= 1 + len(self._fleet.peers)
+        return 1 < self._fleet.reported_box_count <= 1 + len(self._fleet.peers)
 
     async def _tell_place(self) -> None:
         """Write where this box is; a failure is tried again at the next look."""
--- a/src/spanshunt/platform/kept_back.py
+++ b/src/spanshunt/platform/kept_back.py
@@ -18,7 +18,7 @@
 from ..systems.quarantining import due_records
 from ..systems.quarantining import newly_kept
 from ..systems.quarantining import take_suspect
-from ..tables.suspects import Suspect
+from ..tables.suspects import SuspectRequest
 from . import wire
 from .store import Listing
 from .store_reader import StoreReader
@@ -67,7 +67,7 @@
         now = self._clock.now()
         if now < self._pause_until:
             return
-        if not self._fleet.kept_known and self._reads(now):
+        if not self._fleet.quarantine_known and self._reads(now):
             await self._read_all()
         for row in due_records(self._fleet, now):
             await self._record(row)
@@ -98,7 +98,7 @@
             self._note_failure("not read", listing.err_value.detail)
             return
         self._take(listing.ok_value)
-        self._fleet.kept_known = True
+        self._fleet.quarantine_known = True
 
     def _take(self, listing: Listing) -> None:
         now, wall = self._clock.now(), self._clock.wall()
@@ -114,14 +114,14 @@
                 self._expired.append(Fingerprint(item.key_file))
             if age > KEPT_MS:
                 continue
-            told = Suspect(
+            told = SuspectRequest(
                 fingerprint=Fingerprint(item.key_file),
                 service=ServiceId(record.backend),
                 ends={
                     WorkerIncarnation(life): Millis(now - age) for life in record.ends
                 },
                 versions=set(map(VersionId, record.versions)),
-                kept_by=BoxId(record.found_by),
+                quarantined_by=BoxId(record.found_by),
                 recorded=True,
             )
             row = take_suspect(self._fleet, told, now)
@@ -130,18 +130,18 @@
                     "INFO",
                     "content kept back",
                     fingerprint=row.fingerprint,
-                    ends=sorted(row.counted()),
+                    ends=sorted(row.counted_ends()),
                     age_ms=age,
                     source="store",
                 )
 
-    async def _record(self, row: Suspect) -> None:
+    async def _record(self, row: SuspectRequest) -> None:
         now = self._clock.now()
         record = wire.KeptBack(
             backend=row.service,
             versions=tuple(sorted(row.versions)),
-            ends=tuple(sorted(row.counted())),
-            found_by=row.kept_by,
+            ends=tuple(sorted(row.counted_ends())),
+            found_by=row.quarantined_by,
             ended=self._clock.wall() - (now - row.last_end()),
         )
         value = msgspec.json.encode(record)
--- a/src/spanshunt/platform/node.py
+++ b/src/spanshunt/platform/node.py
@@ -387,7 +387,7 @@
             address=settings.listen.advertised or settings.listen.peers,
             incarnation=new_incarnation(box, clock.wall()),
         ),
-        alone_until=Millis(clock.now() + ALONE_MS),
+        discovery_until=Millis(clock.now() + ALONE_MS),
     )
     set_tables(fleet, settings)
     fleet.settings.digest = shared_digest(settings)
--- a/src/spanshunt/platform/operator_records.py
+++ b/src/spanshunt/platform/operator_records.py
@@ -160,14 +160,14 @@
         wait_ms = AGAIN_MS if held else TAIL_WAIT_MS
         if first:
             wait_ms = min(wait_ms, int(WAIT_PART * self._in_force_ms))
-        sent = self._fleet.waiting_since = self._reader.now()
+        sent = self._fleet.long_poll_since = self._reader.now()
         read = self._reader.store.tail(
             wire.OPERATORS_TOPIC, end, wait_ms, self._probe_ms if first else None
         )
         self._wait = Wait(end, self._fleet.catalog_version, first, read)
         wait = self._wait
         got = await wait.ended()
-        self._wait, self._fleet.waiting_since = None, Millis(-1)
+        self._wait, self._fleet.long_poll_since = None, Millis(-1)
         if got is None:
             return wait.known_end if wait.known_end is not None else await self._read()
         cut = isinstance(got, Err) and got.err_value.problem is StoreProblem.LOST
@@ -241,7 +241,7 @@
             "WARNING",
             "wait given up",
             topic=wire.OPERATORS_TOPIC,
-            waited_ms=self._reader.now() - self._fleet.waiting_since,
+            waited_ms=self._reader.now() - self._fleet.long_poll_since,
             records=len(tail.records),
         )
         self._take_found(tail)
--- a/src/spanshunt/platform/recorded_status.py
+++ b/src/spanshunt/platform/recorded_status.py
@@ -42,11 +42,11 @@
             row.order = min(row.order, order)
         bar_versions(row, [VersionId(name) for name in status.barred])
         row.announced = True
-        row.against = wire.decode_against(status.against)
+        row.recorded_suspicion = wire.decode_against(status.against)
         if verdict is Verdict.RUNNING and status.began:
             age = max(0, clock.wall() - status.began)
             take_beginning(row, Millis(now - age), seen=False)
         if row.turned_bad and verdict is Verdict.ROLLED_BACK:
-            row.way_back_recorded = True
+            row.rollback_recorded = True
         elif take_verdict(row, verdict, "recorded", now, recorded=True):
             log_verdict(row, "store")
--- a/src/spanshunt/platform/recorder.py
+++ b/src/spanshunt/platform/recorder.py
@@ -26,7 +26,7 @@
 from ..systems.judging import writer_delay
 from ..systems.ramping import take_verdict
 from ..systems.succeeding import hears_most
-from ..tables.rollouts import Against
+from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Verdict
 from . import wire
@@ -141,7 +141,10 @@
         take_status(self._fleet, listing.ok_value, self._clock)
 
     async def _record(
-        self, row: RolloutRow, judgement: Judgement, against: Against | None = None
+        self,
+        row: RolloutRow,
+        judgement: Judgement,
+        against: RecordedSuspicion | None = None,
     ) -> bool:
         """Record a state unless one of this order stands; tell whether one does.
 
@@ -166,7 +169,7 @@
             order=row.order,
             began=self._clock.wall() - (now - row.began),
             barred=tuple(sorted(row.barred)),
-            against=wire.encode_against(against or row.against),
+            against=wire.encode_against(against or row.recorded_suspicion),
         )
         value = msgspec.json.encode(status)
         done = await self._store.append(wire.STATUS_TOPIC, key, value, known.end)
@@ -176,7 +179,7 @@
                 log_event("WARNING", "verdict not recorded", detail=fault.detail)
             return False
         if against is not None:
-            row.against = against
+            row.recorded_suspicion = against
             return True
         log_event(
             "INFO",
@@ -188,7 +191,7 @@
         )
         self._count(f"rollouts.{judgement.verdict.value}")
         if row.turned_bad:
-            row.way_back_recorded = True
+            row.rollback_recorded = True
         elif take_verdict(row, judgement.verdict, judgement.reason, now, recorded=True):
             log_verdict(row, "own record")
         return True
@@ -199,7 +202,7 @@
         Answers came while the store was read, and success can't be taken back.
         """
         if row.turned_bad:
-            return not row.way_back_recorded
+            return not row.rollback_recorded
         if judgement.verdict is Verdict.SUCCEEDED and not row.recorded:
             now = self._clock.now()
             return judge(self._fleet, row, now).verdict is Verdict.SUCCEEDED
--- a/src/spanshunt/platform/wire.py
+++ b/src/spanshunt/platform/wire.py
@@ -33,8 +33,8 @@
 from ..tables.catalog import ServiceRow
 from ..tables.catalog import Share
 from ..tables.catalog import index
-from ..tables.rollouts import Against
 from ..tables.rollouts import Finding
+from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import Verdict
 from ..tables.workers import WorkerRow
 
@@ -434,7 +434,7 @@
         domain=DomainId(server.zone),
         versions=frozenset({VersionId(server.version)}),
         slots=server.slots,
-        started_at=Millis(server.born),
+        born=Millis(server.born),
     )
     flaw = _cold_flaw(server.cold_remaining_ms)
     return Ok(
@@ -460,15 +460,15 @@
 _FINDINGS = {finding.value: finding for finding in Finding}
 
 
-def decode_against(found: Suspected | None) -> Against | None:
+def decode_against(found: Suspected | None) -> RecordedSuspicion | None:
     """Return a recorded suspicion; one of a kind not known here is none."""
     finding = _FINDINGS.get(found.finding) if found is not None else None
     if found is None or finding is None:
         return None
-    return Against(found.route, finding, found.log_evidence, found.epoch)
+    return RecordedSuspicion(found.route, finding, found.log_evidence, found.epoch)
 
 
-def encode_against(known: Against | None) -> Suspected | None:
+def encode_against(known: RecordedSuspicion | None) -> Suspected | None:
     """Return a suspicion as it is recorded."""
     if known is None:
         return None
--- a/src/spanshunt/platform/worker_list.py
+++ b/src/spanshunt/platform/worker_list.py
@@ -91,7 +91,7 @@
             return False
         listed = self._decode(listing)
         now = self._reader.now()
-        self._fleet.stale_until = Millis(0)
+        self._fleet.wake_hold_until = Millis(0)
         note_reading(self._fleet, now)
         change = take_list(self._fleet, listed, listing.end, now)
         if listing.end >= self._fleet.workers_end:
--- a/src/spanshunt/platform_lines.py
+++ b/src/spanshunt/platform_lines.py
@@ -13,7 +13,7 @@
 
 def catalog_fields(fleet: Fleet, now: Millis) -> dict[str, object]:
     """Return which catalog a box knows and how sure it is that it is the newest."""
-    waiting = fleet.waiting_since
+    waiting = fleet.long_poll_since
     return {
         "catalog": fleet.catalog.version if fleet.catalog else None,
         "proof_age_ms": proof_age(fleet, now),
--- a/src/spanshunt/reports.py
+++ b/src/spanshunt/reports.py
@@ -246,7 +246,7 @@
             domain=row.domain,
             state="leaving" if row.name in table.leaving else row.state.value,
             inflight=row.inflight,
-            reported=row.reported_inflight,
+            reported=row.reported,
             slots=row.slots,
             versions=tuple(sorted(row.versions)),
         )
--- a/src/spanshunt/systems/blaming.py
+++ b/src/spanshunt/systems/blaming.py
@@ -7,8 +7,8 @@
 from ..ids import Millis
 from ..tables.fleet import Fleet
 from ..tables.rollouts import EPOCH_MS
-from ..tables.rollouts import Against
 from ..tables.rollouts import Finding
+from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Tallies
 from .exposing import full_from_ms
@@ -103,7 +103,7 @@
 
 
 def strongest(
-    tallies: Tallies, full_ms: int, against: Against | None = None
+    tallies: Tallies, full_ms: int, against: RecordedSuspicion | None = None
 ) -> Suspicion:
     """Return the strongest suspicion against the entering version, on any route.
 
@@ -113,7 +113,7 @@
         The answers that are known.
     full_ms : int
         The order's age from which on all requests may enter, in ms.
-    against : Against or None
+    against : RecordedSuspicion or None
         A suspicion that was recorded: it counts where the answers that it rests on are
         not known here, as after all boxes ended.
     """
@@ -131,12 +131,12 @@
     return max(found, key=lambda item: item.log_evidence)
 
 
-def _is_known(tallies: Tallies, against: Against) -> bool:
+def _is_known(tallies: Tallies, against: RecordedSuspicion) -> bool:
     """Tell whether answers are known that a recorded suspicion rests on."""
     return any(key.entering and key.epoch < against.epoch for key in tallies.routes)
 
 
-def _start(against: Against | None, route: str, finding: Finding) -> float:
+def _start(against: RecordedSuspicion | None, route: str, finding: Finding) -> float:
     """Return the log of the statistic that a recorded suspicion begins with."""
     if against is None or (against.route, against.finding) != (route, finding):
         return -math.inf
@@ -145,7 +145,7 @@
 
 def strongest_of(fleet: Fleet, row: RolloutRow) -> Suspicion:
     """Return the strongest suspicion against the version of an order."""
-    return strongest(pooled(row), full_from_ms(fleet, row), row.against)
+    return strongest(pooled(row), full_from_ms(fleet, row), row.recorded_suspicion)
 
 
 def basis_of(fleet: Fleet, row: RolloutRow, now: Millis) -> Basis:
--- a/src/spanshunt/systems/cascading.py
+++ b/src/spanshunt/systems/cascading.py
@@ -231,7 +231,7 @@
     It is what such time usually gains, more the longer those who come have to wait and
     the more answers came late just now: where all come early, time is to spare.
     """
-    usual = fleet.engine_worths.get(service.name, 0.0)
+    usual = fleet.gain_per_engine_ms.get(service.name, 0.0)
     held_ms = found.wait_ms + 0.5 * found.read_ms
     busy = held_ms / max(1.0, BUSY_AIM_PART * route.aim_ms)
     late = fleet.lateness.get(service.name, USUAL_LATENESS)
@@ -252,9 +252,9 @@
     better = expected(fleet, route.models[-1]) - expected(fleet, route.models[0])
     gain = max(GAIN_LEAST, better) * value(route, service, tokens)
     worth = gain / found.read_ms
-    before = fleet.engine_worths.get(service.name, worth)
+    before = fleet.gain_per_engine_ms.get(service.name, worth)
     moved = before + ENGINE_WORTH_SMOOTHING * (worth - before)
-    fleet.engine_worths[service.name] = moved
+    fleet.gain_per_engine_ms[service.name] = moved
 
 
 def value(route: RouteRow, service: ServiceRow, tokens: RequestTokens) -> float:
--- a/src/spanshunt/systems/ending.py
+++ b/src/spanshunt/systems/ending.py
@@ -8,7 +8,7 @@
 from ..ids import Millis
 from ..tables.engines import PromptCache
 from ..tables.fleet import Fleet
-from ..tables.suspects import Break
+from ..tables.suspects import BrokenConnection
 from ..tables.workers import WorkerRow
 from .throttling import forget_limit
 from .warming import note_started
@@ -22,14 +22,14 @@
 """Breaks remembered of one worker at most: twice the requests that an engine runs."""
 
 
-def note_break(fleet: Fleet, worker: WorkerRow, broke: Break) -> None:
+def note_break(fleet: Fleet, worker: WorkerRow, broke: BrokenConnection) -> None:
     """Remember that a worker's connection ended under a request."""
-    breaks = fleet.breaks.setdefault(worker.name, [])
+    breaks = fleet.broken_connections.setdefault(worker.name, [])
     breaks.append(broke)
     del breaks[:-BREAKS_KEPT]
 
 
-def note_end(fleet: Fleet, worker: WorkerRow, now: Millis) -> list[Break]:
+def note_end(fleet: Fleet, worker: WorkerRow, now: Millis) -> list[BrokenConnection]:
     """Take in that a worker has ended; return the breaks that this explains."""
     worker.ended_at = now
     _forget_life(worker)
@@ -37,7 +37,7 @@
     note_started(fleet, worker, now)
     for read in [read for read in fleet.recent_prefills if read.worker == worker.name]:
         fleet.recent_prefills.remove(read)
-    breaks = fleet.breaks.pop(worker.name, [])
+    breaks = fleet.broken_connections.pop(worker.name, [])
     return [broke for broke in breaks if now - broke.at <= BREAK_COUNTS_MS]
 
 
@@ -51,8 +51,8 @@
 
 def _forget_life(worker: WorkerRow) -> None:
     """Drop what was believed of a worker that has ended: whatever is back is empty."""
-    worker.prompt_cache = PromptCache()
-    worker.reported_inflight = worker.own_inflight_at_report = worker.queued = 0
+    worker.kept = PromptCache()
+    worker.reported = worker.own_inflight_at_report = worker.queued = 0
     worker.reported_at = Millis(0)
     worker.peer_prefill_ms.clear()
     worker.unreported_prefill_ms = 0.0
@@ -61,6 +61,6 @@
 
 def forget_breaks(fleet: Fleet, now: Millis) -> None:
     """Drop the breaks that no end can explain any more."""
-    for name, breaks in list(fleet.breaks.items()):
+    for name, breaks in list(fleet.broken_connections.items()):
         if now - breaks[-1].at > BREAK_COUNTS_MS:
-            del fleet.breaks[name]
+            del fleet.broken_connections[name]
--- a/src/spanshunt/systems/eras.py
+++ b/src/spanshunt/systems/eras.py
@@ -58,7 +58,7 @@
         return False
     fleet.store.era_began = now
     # Entries of workers may be missing from the copy as they are after an outage.
-    fleet.readings.since = fleet.readings.last = now
+    fleet.list_read_streak.since = fleet.list_read_streak.last = now
     _write_again(fleet, Millis(now - COPY_AGE_MS))
     return True
 
@@ -74,9 +74,9 @@
     for row in fleet.rollouts.rows.values():
         row.announced = row.announced and row.began < since
         if row.verdict is not Verdict.RUNNING and row.judged_at >= since:
-            row.recorded = row.way_back_recorded = False
-    for suspect in fleet.suspects.values():
-        if suspect.kept_at >= since:
+            row.recorded = row.rollback_recorded = False
+    for suspect in fleet.suspect_requests.values():
+        if suspect.quarantined_at >= since:
             suspect.recorded = False
         if suspect.dropped_at >= since:
             suspect.dropped_at = Millis(-1)
--- a/src/spanshunt/systems/estimating.py
+++ b/src/spanshunt/systems/estimating.py
@@ -137,13 +137,13 @@
 def estimator(fleet: Fleet, effort: Effort, now: Millis) -> Estimator:
     """Return what estimates one request at each of many workers."""
     speed = speed_of(fleet, effort.service, effort.model)
-    read_ms, base_ms = speed.token_ms, speed.base_ms
+    read_ms, base_ms = speed.read_ms, speed.base_ms
     keys = [(part_key(effort.model, part.name), part.tokens) for part in effort.shared]
     unseen_tokens = unseen_kept(fleet, effort) * effort.shared_tokens
 
     def estimate(row: WorkerRow, owner: bool) -> Estimate:
         kept = 0.0
-        parts = row.prompt_cache.parts
+        parts = row.kept.parts
         for key, tokens in keys:
             if key not in parts:
                 break
@@ -225,14 +225,14 @@
         known = fleet.prefill_speeds.get((service.name, other))
         if known is not None and other_price > 0.0:
             factor = price / other_price
-            return PrefillSpeed(known.token_ms * factor, known.base_ms * factor, 0)
+            return PrefillSpeed(known.read_ms * factor, known.base_ms * factor, 0)
     return PrefillSpeed(0.0, 0.0, 0)
 
 
 def shared_read_ms(fleet: Fleet, effort: Effort) -> float:
     """Return how long it takes to read the shared parts of a prompt, in ms."""
     speed = speed_of(fleet, effort.service, effort.model)
-    return effort.shared_tokens * speed.token_ms
+    return effort.shared_tokens * speed.read_ms
 
 
 def unseen_kept(fleet: Fleet, effort: Effort) -> float:
@@ -272,14 +272,14 @@
         read_ms = (first_ms - base_ms) / max(1.0, expected.unread)
         fleet.prefill_speeds[key] = PrefillSpeed(read_ms, base_ms)
         return
-    usual = speed.base_ms + speed.token_ms * expected.unread
+    usual = speed.base_ms + speed.read_ms * expected.unread
     if expected.wait_ms > QUIET_PART * expected.first_ms or usual <= 0.0:
         return
     speed.answers += 1
     step = max(SPEED_STEP_LEAST, SPEED_STEP_MOST / speed.answers)
     step *= SPEED_QUANTILE if first_ms > usual else SPEED_QUANTILE - 1.0
-    reading = speed.token_ms * expected.unread / usual
-    speed.token_ms *= 1.0 + step * reading
+    reading = speed.read_ms * expected.unread / usual
+    speed.read_ms *= 1.0 + step * reading
     speed.base_ms *= 1.0 + step * (1.0 - reading)
 
 
@@ -289,7 +289,7 @@
     """Take in whether an owner kept a prompt that this box knew nothing of."""
     speed = speed_of(fleet, effort.service, effort.model)
     own_tokens = effort.read - 0.5 * effort.shared_tokens
-    middle = expected.wait_ms + speed.base_ms + own_tokens * speed.token_ms
+    middle = expected.wait_ms + speed.base_ms + own_tokens * speed.read_ms
     before = unseen_kept(fleet, effort)
     kept = 1.0 if first_ms < middle else 0.0
     key = (effort.service.name, effort.model)
@@ -304,7 +304,7 @@
     if speed is None:
         fleet.prefill_speeds[(service, model)] = told
         return
-    speed.token_ms += POOL_WEIGHT * (told.token_ms - speed.token_ms)
+    speed.read_ms += POOL_WEIGHT * (told.read_ms - speed.read_ms)
     speed.base_ms += POOL_WEIGHT * (told.base_ms - speed.base_ms)
 
 
@@ -319,13 +319,13 @@
 
     Of its memory this box counts on its share, as all boxes send there.
     """
-    known = kept_tokens(row.prompt_cache, effort.model, effort.shared)
+    known = kept_tokens(row.kept, effort.model, effort.shared)
     if known < effort.shared_tokens and shared_read_ms(fleet, effort) > TOLD_READ_MS:
         read = RecentPrefill(row.name, effort.model, effort.shared, now)
         fleet.recent_prefills.append(read)
     boxes = len(fleet.peers) + 1
     capacity = effort.service.memory_tokens / boxes
-    note_read(row.prompt_cache, effort.model, (*effort.shared, own), capacity)
+    note_read(row.kept, effort.model, (*effort.shared, own), capacity)
 
 
 def newest_reads(fleet: Fleet, now: Millis) -> tuple[RecentPrefill, ...]:
@@ -337,4 +337,4 @@
     """Take in that another box sent a prompt to an engine."""
     row = fleet.workers.rows.get(read.worker)
     if row is not None:
-        note_read(row.prompt_cache, read.model, read.shared, 0.0)
+        note_read(row.kept, read.model, read.shared, 0.0)
--- a/src/spanshunt/systems/exposing.py
+++ b/src/spanshunt/systems/exposing.py
@@ -10,7 +10,7 @@
 from ..tables.fleet import Fleet
 from ..tables.fleet import Traffic
 from ..tables.rollouts import EPOCH_MS
-from ..tables.rollouts import ExposeBounds
+from ..tables.rollouts import ExposureBounds
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Verdict
 from .tallies import count_answers
@@ -84,20 +84,20 @@
     full_at: float
 
 
-def full_part(bounds: ExposeBounds, duration_ms: int) -> float:
+def full_part(bounds: ExposureBounds, duration_ms: int) -> float:
     """Return the last part of an order's time, in which all requests may enter."""
     part = FULL_PART * SHARE_USED * bounds.share
     return min(part, FULL_MOST_MS / max(1, duration_ms))
 
 
-def steps_of(bounds: ExposeBounds, extra: float, duration_ms: int) -> Steps:
+def steps_of(bounds: ExposureBounds, extra: float, duration_ms: int) -> Steps:
     """Return steps that keep within the bounds, whether the version shows bad or not.
 
     Each kind of requests keeps them by itself, so that any mix does.
 
     Parameters
     ----------
-    bounds : ExposeBounds
+    bounds : ExposureBounds
         What a bad version may get of the order's requests.
     extra : float
         What the allowed number of requests adds to the share, as a part of them.
@@ -129,7 +129,7 @@
     return max(planned, row.full_from_ms)
 
 
-def extra_share(bounds: ExposeBounds, requests: float) -> float:
+def extra_share(bounds: ExposureBounds, requests: float) -> float:
     """Return what the allowed number adds, for so many requests in the order's time."""
     return SLACK_USED * bounds.slack / requests if requests > 0 else 0.0
 
--- a/src/spanshunt/systems/fleet_size.py
+++ b/src/spanshunt/systems/fleet_size.py
@@ -9,12 +9,12 @@
 
 def box_count(fleet: Fleet) -> int:
     """Return how many boxes there are, as far as this one heard."""
-    return max(1 + len(fleet.peers), fleet.boxes_told)
+    return max(1 + len(fleet.peers), fleet.reported_box_count)
 
 
 def may_be_alone(fleet: Fleet, now: Millis) -> bool:
     """Tell whether a box that heard of no other one may take it that there is none."""
-    return box_count(fleet) > 1 or now >= fleet.alone_until
+    return box_count(fleet) > 1 or now >= fleet.discovery_until
 
 
 def turn_of(fleet: Fleet, key: str) -> float:
--- a/src/spanshunt/systems/following_workers.py
+++ b/src/spanshunt/systems/following_workers.py
@@ -116,12 +116,12 @@
     rows = fleet.workers.rows
     fresh = [item.row for item in listed if item.row.name not in rows]
     taken = {row.address for row in fresh}
-    lives = {item.row.name: item.row.started_at for item in listed}
+    lives = {item.row.name: item.row.born for item in listed}
     return tuple(
         row
         for row in rows.values()
         if row.name not in fleet.workers.leaving
-        and (row.address in taken or lives.get(row.name, 0) > row.started_at > 0)
+        and (row.address in taken or lives.get(row.name, 0) > row.born > 0)
     )
 
 
@@ -132,15 +132,15 @@
     came, leaving = [], []
     for item in listed:
         fresh = item.row
-        fleet.missing.discard(fresh.name)
+        fleet.missing_workers.discard(fresh.name)
         known = workers.rows.get(fresh.name)
-        if known is None or fresh.started_at > known.started_at > 0:
+        if known is None or fresh.born > known.born > 0:
             _take_life(fleet, fresh, now)
             came.append(fresh.name)
         else:
             known.address, known.domain = fresh.address, fresh.domain
             known.versions, known.service = fresh.versions, fresh.service
-            known.started_at = fresh.started_at or known.started_at
+            known.born = fresh.born or known.born
         row = workers.rows[fresh.name]
         row.listed_at = now
         row.listed_cold = bool(item.cold_ms)
@@ -167,9 +167,9 @@
         fresh.last_byte_at = now
     fleet.workers.rows[fresh.name] = fresh
     fleet.workers.leaving.discard(fresh.name)
-    fleet.silences.pop(fresh.name, None)
+    fleet.silence_reports.pop(fresh.name, None)
     former = fleet.workers.former.pop(fresh.name, None)
-    if former is not None and former.started_at == fresh.started_at:
+    if former is not None and former.born == fresh.born:
         _take_words(fleet, fresh, former)
 
 
@@ -187,11 +187,11 @@
     waits = awaits_entries(fleet, now)
     gone, kept = [], []
     for name in set(fleet.workers.rows) - present:
-        lapsed = fleet.workers.rows[name].listed_at < fleet.readings.since
+        lapsed = fleet.workers.rows[name].listed_at < fleet.list_read_streak.since
         if waits and lapsed and name not in fleet.workers.leaving:
-            if name not in fleet.missing:
+            if name not in fleet.missing_workers:
                 kept.append(name)
-            fleet.missing.add(name)
+            fleet.missing_workers.add(name)
             continue
         _remove(fleet, name)
         gone.append(name)
@@ -204,15 +204,17 @@
     They may just after a time in which no box read the list. A box that was cut off
     waits only until it hears of one that read on: then no entry lapsed.
     """
-    return now < fleet.readings.since + RETURN_GRACE_MS
+    return now < fleet.list_read_streak.since + RETURN_GRACE_MS
 
 
 def drop_missing(fleet: Fleet, now: Millis) -> tuple[WorkerId, ...]:
     """Remove the workers whose entries are no longer waited for; return them."""
-    if not fleet.missing or awaits_entries(fleet, now):
+    if not fleet.missing_workers or awaits_entries(fleet, now):
         return ()
-    dropped = tuple(name for name in fleet.missing if name in fleet.workers.rows)
-    fleet.missing.clear()
+    dropped = tuple(
+        name for name in fleet.missing_workers if name in fleet.workers.rows
+    )
+    fleet.missing_workers.clear()
     for name in dropped:
         _remove(fleet, name)
     fleet.workers.invalidate_index()
@@ -220,7 +222,7 @@
 
 
 def _remove(fleet: Fleet, name: WorkerId) -> None:
-    fleet.missing.discard(name)
+    fleet.missing_workers.discard(name)
     _mark_leaving(fleet, name)
     fleet.workers.leaving.discard(name)
     row = fleet.workers.rows.pop(name)
@@ -245,7 +247,7 @@
     unbroken_since : int or None
         Since when the teller knows of readings without a gap up to that one, in ms.
     """
-    readings = fleet.readings
+    readings = fleet.list_read_streak
     reaches = read_at >= readings.last - READ_GAP_MS
     if readings.last < 0 or read_at - readings.last > READ_GAP_MS:
         readings.since = read_at
@@ -396,6 +398,6 @@
         f"{row.incarnation} {row.address} {row.service} {sorted(row.versions)} "
         f"{is_listed_leaving(fleet, row)} {row.listed_cold}"
         for row in fleet.workers.rows.values()
-        if row.name not in fleet.missing
+        if row.name not in fleet.missing_workers
     )
     return zlib.crc32("\n".join(said).encode()) or 1
--- a/src/spanshunt/systems/judging.py
+++ b/src/spanshunt/systems/judging.py
@@ -6,7 +6,7 @@
 from ..ids import Millis
 from ..tables.fleet import Fleet
 from ..tables.rollouts import EPOCH_MS
-from ..tables.rollouts import Against
+from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Verdict
 from .blaming import heard_peers
@@ -64,7 +64,9 @@
 natural logs: up to the verdict that is three times at most, at two calls each."""
 
 
-def due_suspicion(fleet: Fleet, row: RolloutRow, now: Millis) -> Against | None:
+def due_suspicion(
+    fleet: Fleet, row: RolloutRow, now: Millis
+) -> RecordedSuspicion | None:
     """Return the suspicion that this box must record now, if any.
 
     What boxes know of a version ends with them. Where all of them ended in the middle
@@ -72,7 +74,11 @@
     were taken for sound by the few answers that came after (``bench/play_cases.py``).
     """
     found = strongest_of(fleet, row)
-    known = row.against.log_evidence if row.against is not None else -math.inf
+    known = (
+        row.recorded_suspicion.log_evidence
+        if row.recorded_suspicion is not None
+        else -math.inf
+    )
     if not found.holds or found.log_evidence < known + RECORD_STEP:
         row.suspected_at = Millis(-1)
         return None
@@ -81,7 +87,7 @@
     if now < row.suspected_at + writer_delay(fleet, now):
         return None
     epoch = (now - row.began) // EPOCH_MS
-    return Against(found.route, found.finding, found.log_evidence, epoch)
+    return RecordedSuspicion(found.route, found.finding, found.log_evidence, epoch)
 
 
 WRITER_STEP_MS = 700
@@ -118,8 +124,8 @@
 def _due(fleet: Fleet, row: RolloutRow, now: Millis) -> tuple[Millis, Judgement]:
     """Return the verdict to be recorded and since when; running for none."""
     note_turned_bad(fleet, row, now)
-    if row.turned_bad and not row.way_back_recorded and has_way_back(fleet, row, now):
-        since = max(row.looked_at, Millis(row.judged_at + LAPSE_MS))
+    if row.turned_bad and not row.rollback_recorded and has_way_back(fleet, row, now):
+        since = max(row.turned_bad_checked_at, Millis(row.judged_at + LAPSE_MS))
         return since, Judgement(Verdict.ROLLED_BACK, row.turned_bad)
     if row.recorded:
         return now, Judgement(Verdict.RUNNING)
@@ -127,9 +133,9 @@
         return row.judged_at, Judgement(row.verdict, row.reason)
     judgement = judge(fleet, row, now)
     if judgement.verdict is Verdict.SUCCEEDED:
-        row.sound_at = row.sound_at if row.sound_at >= 0 else now
-        return row.sound_at, judgement
-    row.sound_at = Millis(-1)
+        row.succeeded_since = row.succeeded_since if row.succeeded_since >= 0 else now
+        return row.succeeded_since, judgement
+    row.succeeded_since = Millis(-1)
     if judgement.verdict is Verdict.ROLLED_BACK:
         take_verdict(row, judgement.verdict, judgement.reason, now, recorded=False)
     return now, judgement
--- a/src/spanshunt/systems/placing.py
+++ b/src/spanshunt/systems/placing.py
@@ -201,7 +201,7 @@
     """
     owner = owner_of(fleet, rows, wanted)
     speed = speed_of(fleet, effort.service, effort.model)
-    own_ms = speed.base_ms + (effort.read - effort.shared_tokens) * speed.token_ms
+    own_ms = speed.base_ms + (effort.read - effort.shared_tokens) * speed.read_ms
     estimate = estimator(fleet, effort, now)
     aim_ms = wanted.aim_ms
     noise = NOISE_AIM_PART * aim_ms
@@ -292,7 +292,7 @@
 
 def batch_load(row: WorkerRow, now: Millis) -> float:
     """Return a worker's load in parts of its batch, requests in its queue twice."""
-    told = max(0, row.reported_inflight - row.own_inflight_at_report) + row.queued
+    told = max(0, row.reported - row.own_inflight_at_report) + row.queued
     if not told or not row.reported_at:
         return row.inflight / max(1, row.slots)
     weight: float = 0.5 ** (max(0, now - row.reported_at) / REPORT_HALF_LIFE_MS)
--- a/src/spanshunt/systems/quarantining.py
+++ b/src/spanshunt/systems/quarantining.py
@@ -16,8 +16,8 @@
 from ..ids import ServiceId
 from ..ids import VersionId
 from ..tables.fleet import Fleet
-from ..tables.suspects import SOUND_MS
-from ..tables.suspects import Suspect
+from ..tables.suspects import CLEARED_MS
+from ..tables.suspects import SuspectRequest
 from ..tables.workers import WorkerRow
 from ..utils import rendezvous
 from .blaming import heard_peers
@@ -65,36 +65,38 @@
     service: ServiceId,
     worker: WorkerRow,
     now: Millis,
-) -> Suspect:
+) -> SuspectRequest:
     """Take in that a worker ended while it had a content; return what is known."""
-    row = fleet.suspects.get(fingerprint)
+    row = fleet.suspect_requests.get(fingerprint)
     if row is None:
-        row = fleet.suspects[fingerprint] = Suspect(
-            fingerprint, service, sound_at=fleet.sound.get(fingerprint, Millis(-1))
+        row = fleet.suspect_requests[fingerprint] = SuspectRequest(
+            fingerprint,
+            service,
+            cleared_at=fleet.last_completed.get(fingerprint, Millis(-1)),
         )
         _make_room(fleet)
     row.ends.setdefault(worker.incarnation, now)
     row.versions |= worker.versions
-    row.shared |= len(row.counted()) > 1
+    row.shared |= len(row.counted_ends()) > 1
     row.changed_at = now
     return row
 
 
 def note_sound(fleet: Fleet, fingerprint: Fingerprint, at: Millis) -> None:
     """Take in that a worker outlived a whole answer to a content."""
-    fleet.sound.pop(fingerprint, None)
-    fleet.sound[fingerprint] = at
-    if len(fleet.sound) > SOUND_MOST:
-        del fleet.sound[next(iter(fleet.sound))]
-    row = fleet.suspects.get(fingerprint)
+    fleet.last_completed.pop(fingerprint, None)
+    fleet.last_completed[fingerprint] = at
+    if len(fleet.last_completed) > SOUND_MOST:
+        del fleet.last_completed[next(iter(fleet.last_completed))]
+    row = fleet.suspect_requests.get(fingerprint)
     if row is None:
         return
     if not row.shared:
-        del fleet.suspects[fingerprint]
+        del fleet.suspect_requests[fingerprint]
         return
     # What is answered often is told now and then, not at each answer.
-    if row.counted() or at > row.sound_at + SOUND_MS // 2:
-        row.sound_at = row.changed_at = at
+    if row.counted_ends() or at > row.cleared_at + CLEARED_MS // 2:
+        row.cleared_at = row.changed_at = at
 
 
 def release(fleet: Fleet, fingerprint: Fingerprint, at: Millis, now: Millis) -> None:
@@ -102,34 +104,34 @@
 
     It counts as well for one that is heard of later only. Ends after it count again.
     """
-    row = fleet.suspects.setdefault(
-        fingerprint, Suspect(fingerprint, ServiceId(""), shared=True)
+    row = fleet.suspect_requests.setdefault(
+        fingerprint, SuspectRequest(fingerprint, ServiceId(""), shared=True)
     )
-    row.sound_at = max(row.sound_at, Millis(at - SOUND_MS))
+    row.cleared_at = max(row.cleared_at, Millis(at - CLEARED_MS))
     row.changed_at = now
 
 
 def share(fleet: Fleet, fingerprint: Fingerprint, now: Millis) -> None:
     """Let others know of a content whose try ended here without a whole answer."""
-    row = fleet.suspects.get(fingerprint)
+    row = fleet.suspect_requests.get(fingerprint)
     if row is not None and not row.shared:
         row.shared, row.changed_at = True, now
 
 
 def is_suspected(fleet: Fleet, fingerprint: Fingerprint) -> bool:
     """Tell whether a worker ended under a content since it was last sound."""
-    row = fleet.suspects.get(fingerprint)
-    return row is not None and bool(row.counted())
+    row = fleet.suspect_requests.get(fingerprint)
+    return row is not None and bool(row.counted_ends())
 
 
-def is_kept_back(row: Suspect) -> bool:
+def is_kept_back(row: SuspectRequest) -> bool:
     """Tell whether a content is sent to no worker."""
-    return len(row.ends) >= ENDS_MOST and len(row.counted()) >= ENDS_MOST
+    return len(row.ends) >= ENDS_MOST and len(row.counted_ends()) >= ENDS_MOST
 
 
-def kept_contents(fleet: Fleet) -> list[Suspect]:
+def kept_contents(fleet: Fleet) -> list[SuspectRequest]:
     """Return the contents that are sent to no worker."""
-    return [row for row in fleet.suspects.values() if is_kept_back(row)]
+    return [row for row in fleet.suspect_requests.values() if is_kept_back(row)]
 
 
 def may_be_sent(
@@ -151,14 +153,14 @@
     under_way : bool
         Whether another request of this content is under way at this box.
     """
-    row = fleet.suspects.get(fingerprint)
+    row = fleet.suspect_requests.get(fingerprint)
     if row is None or not is_kept_back(row):
         return True
     due = now >= row.last_end() + KEPT_MS or _is_renewed(fleet, row)
     return due and not under_way and _tries(fleet, row, now)
 
 
-def _is_renewed(fleet: Fleet, row: Suspect) -> bool:
+def _is_renewed(fleet: Fleet, row: SuspectRequest) -> bool:
     """Tell whether the service has workers, and none of the versions that ended."""
     workers = fleet.workers
     versions: set[VersionId] = set()
@@ -168,46 +170,46 @@
     return bool(versions) and not versions & row.versions
 
 
-def _tries(fleet: Fleet, row: Suspect, now: Millis) -> bool:
+def _tries(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
     boxes = [fleet.me.box, *heard_peers(fleet, now)]
     return rendezvous(row.fingerprint, boxes, 1)[0] == fleet.me.box
 
 
-def newly_kept(fleet: Fleet, row: Suspect, now: Millis) -> bool:
+def newly_kept(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
     """Judge a content; tell whether it is to be kept back and was not before."""
     if not is_kept_back(row):
         return False
-    row.kept_by = row.kept_by or fleet.me.box
-    new = row.kept_at < 0 or row.kept_at <= row.sound_at
+    row.quarantined_by = row.quarantined_by or fleet.me.box
+    new = row.quarantined_at < 0 or row.quarantined_at <= row.cleared_at
     if new:
-        row.kept_at = now
+        row.quarantined_at = now
         row.shared, row.changed_at = True, now
     return new
 
 
-def take_suspect(fleet: Fleet, told: Suspect, now: Millis) -> Suspect:
+def take_suspect(fleet: Fleet, told: SuspectRequest, now: Millis) -> SuspectRequest:
     """Take in what a peer or the store tells of a content; return what is known."""
-    row = fleet.suspects.get(told.fingerprint)
+    row = fleet.suspect_requests.get(told.fingerprint)
     if row is None:
-        row = fleet.suspects[told.fingerprint] = Suspect(
+        row = fleet.suspect_requests[told.fingerprint] = SuspectRequest(
             told.fingerprint,
             told.service,
-            sound_at=fleet.sound.get(told.fingerprint, Millis(-1)),
+            cleared_at=fleet.last_completed.get(told.fingerprint, Millis(-1)),
             changed_at=now,
         )
         _make_room(fleet)
-    before = (set(row.ends), row.recorded, row.kept_by)
+    before = (set(row.ends), row.recorded, row.quarantined_by)
     # Times come with the age that the teller gave them: what is known stands.
     row.ends = told.ends | row.ends
     row.service = row.service or told.service
     row.versions |= told.versions
     row.recorded |= told.recorded
-    row.kept_by = _first(row.kept_by, told.kept_by)
-    newer = told.sound_at > row.sound_at + _SAME_MS
+    row.quarantined_by = _first(row.quarantined_by, told.quarantined_by)
+    newer = told.cleared_at > row.cleared_at + _SAME_MS
     if newer:
-        row.sound_at = told.sound_at
+        row.cleared_at = told.cleared_at
     row.shared = True
-    if newer or before != (set(row.ends), row.recorded, row.kept_by):
+    if newer or before != (set(row.ends), row.recorded, row.quarantined_by):
         row.changed_at = now
     return row
 
@@ -218,7 +220,7 @@
 
 def told_suspects(
     fleet: Fleet, now: Millis, hearer_digest: int | None
-) -> list[Suspect]:
+) -> list[SuspectRequest]:
     """Return the contents to tell a peer.
 
     Parameters
@@ -230,9 +232,9 @@
     hearer_digest : int or None
         The hearer's :func:`kept_digest`; None where that is not known.
     """
-    shared = [row for row in fleet.suspects.values() if row.shared]
+    shared = [row for row in fleet.suspect_requests.values() if row.shared]
     fresh = [row for row in shared if now - row.changed_at <= TOLD_MS]
-    fresh.sort(key=lambda row: (-len(row.counted()), -row.changed_at))
+    fresh.sort(key=lambda row: (-len(row.counted_ends()), -row.changed_at))
     told = fresh[:TOLD_MOST]
     if hearer_digest is not None and hearer_digest != kept_digest(fleet):
         named = {row.fingerprint for row in told}
@@ -247,7 +249,7 @@
     return zlib.crc32("\n".join(kept).encode()) if kept else 0
 
 
-def due_records(fleet: Fleet, now: Millis) -> list[Suspect]:
+def due_records(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
     """Return the contents whose keeping back this box is to record now.
 
     The box that found it does; where that one is not heard, the first by name that is.
@@ -256,14 +258,14 @@
     return [
         row
         for row in kept_contents(fleet)
-        if row.kept_at >= 0
+        if row.quarantined_at >= 0
         and (not row.recorded or row.dropped_at >= 0)
-        and now >= row.kept_at + RECORD_AFTER_MS
+        and now >= row.quarantined_at + RECORD_AFTER_MS
         and _records(fleet, row, heard)
     ]
 
 
-def due_drops(fleet: Fleet, now: Millis) -> list[Suspect]:
+def due_drops(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
     """Return the recorded contents that were found sound or let go since.
 
     A box that starts would keep them back by their record.
@@ -271,32 +273,32 @@
     heard = heard_peers(fleet, now)
     return [
         row
-        for row in fleet.suspects.values()
+        for row in fleet.suspect_requests.values()
         if row.recorded
-        and row.dropped_at < 0 <= row.sound_at
-        and len(row.counted()) < ENDS_MOST
+        and row.dropped_at < 0 <= row.cleared_at
+        and len(row.counted_ends()) < ENDS_MOST
         and _records(fleet, row, heard)
     ]
 
 
-def _records(fleet: Fleet, row: Suspect, heard: list[BoxId]) -> bool:
-    if row.kept_by in heard:
+def _records(fleet: Fleet, row: SuspectRequest, heard: list[BoxId]) -> bool:
+    if row.quarantined_by in heard:
         return False
-    return fleet.me.box in (row.kept_by, min([fleet.me.box, *heard]))
+    return fleet.me.box in (row.quarantined_by, min([fleet.me.box, *heard]))
 
 
 def forget_suspects(fleet: Fleet, now: Millis) -> None:
     """Drop the contents that nothing was learned of for long."""
     kept = {row.fingerprint for row in kept_contents(fleet)}
-    for name, row in list(fleet.suspects.items()):
+    for name, row in list(fleet.suspect_requests.items()):
         if now - row.changed_at > (FORGOTTEN_MS if name in kept else SUSPECTED_MS):
-            del fleet.suspects[name]
+            del fleet.suspect_requests[name]
 
 
 def _make_room(fleet: Fleet) -> None:
-    while len(fleet.suspects) > SUSPECTS_MOST:
-        rows: t.Iterable[Suspect] = fleet.suspects.values()
+    while len(fleet.suspect_requests) > SUSPECTS_MOST:
+        rows: t.Iterable[SuspectRequest] = fleet.suspect_requests.values()
         least = min(
-            rows, key=lambda row: (len(row.counted()) >= ENDS_MOST, row.changed_at)
+            rows, key=lambda row: (len(row.counted_ends()) >= ENDS_MOST, row.changed_at)
         )
-        del fleet.suspects[least.fingerprint]
+        del fleet.suspect_requests[least.fingerprint]
--- a/src/spanshunt/systems/ramping.py
+++ b/src/spanshunt/systems/ramping.py
@@ -144,14 +144,19 @@
     """
     known = fleet.rollouts.rows.get(service)
     if known is not None and _is_same(fleet, known, version, duration_ms, order):
-        known.order, known.newest = min(known.order, order), max(known.newest, order)
+        known.order, known.newest_order = (
+            min(known.order, order),
+            max(known.newest_order, order),
+        )
         take_beginning(known, began, seen=seen)
         return False
     if known is not None and _is_older(known, order):
         return False
-    row = RolloutRow(service, version, order, duration_ms, began, seen, newest=order)
+    row = RolloutRow(
+        service, version, order, duration_ms, began, seen, newest_order=order
+    )
     if known is not None:
-        row.before = known.newest
+        row.before = known.newest_order
         taken_back = known.verdict is Verdict.ROLLED_BACK
         bar_versions(row, known.barred | ({known.version} if taken_back else set()))
     fleet.rollouts.rows[service] = row
@@ -170,13 +175,13 @@
     It keeps the place under which it was known first: sessions are drawn by that. One
     that is older than any copy stands where it did; what stands elsewhere is another.
     """
-    if order in (known.order, known.newest):
+    if order in (known.order, known.newest_order):
         return True
     alike = version == known.version and duration_ms == known.duration_ms
-    if not alike or era_of(order) == era_of(known.newest):
+    if not alike or era_of(order) == era_of(known.newest_order):
         return False
     oldest = fleet.store.era_began - COPY_AGE_MS
-    return is_same_offset(order, known.newest) or known.began >= oldest
+    return is_same_offset(order, known.newest_order) or known.began >= oldest
 
 
 def _is_older(known: RolloutRow, order: Offset) -> bool:
@@ -185,8 +190,8 @@
     One that a copy still holds, where the known one is lost, has a later era but an
     offset at which an earlier order stood.
     """
-    if era_of(order) <= era_of(known.newest):
-        return order < known.newest
+    if era_of(order) <= era_of(known.newest_order):
+        return order < known.newest_order
     return known.before >= 0 and offset_of(order) <= offset_of(known.before)
 
 
--- a/src/spanshunt/systems/silence.py
+++ b/src/spanshunt/systems/silence.py
@@ -38,7 +38,7 @@
     """Keep a report unless it is too old; return whether it is news here."""
     if now - silence.at >= COUNTS_MS or silence.worker not in fleet.workers.rows:
         return False
-    reports = fleet.silences.setdefault(silence.worker, {})
+    reports = fleet.silence_reports.setdefault(silence.worker, {})
     if reports.get(silence.box, Millis(-1)) >= silence.at:
         return False
     reports[silence.box] = silence.at
@@ -47,19 +47,19 @@
 
 def forget_silences(fleet: Fleet, now: Millis) -> None:
     """Drop the reports that count no more anywhere."""
-    for worker, reports in list(fleet.silences.items()):
+    for worker, reports in list(fleet.silence_reports.items()):
         for box, at in list(reports.items()):
             if now - at >= COUNTS_MS:
                 del reports[box]
         if not reports:
-            del fleet.silences[worker]
+            del fleet.silence_reports[worker]
 
 
 def newest_silences(fleet: Fleet, now: Millis) -> tuple[Silence, ...]:
     """Return the newest reports of each worker, as many as others need."""
     forget_silences(fleet, now)
     newest: list[Silence] = []
-    for worker, reports in fleet.silences.items():
+    for worker, reports in fleet.silence_reports.items():
         ordered = sorted(reports.items(), key=lambda row: -row[1])
         newest += [Silence(worker, box, at) for box, at in ordered[:WITNESSES]]
     return tuple(newest)
@@ -67,13 +67,13 @@
 
 def silent_workers(fleet: Fleet, now: Millis) -> set[WorkerId]:
     """Return the workers that this box leaves out for what boxes told of them."""
-    return {worker for worker in fleet.silences if is_silent(fleet, worker, now)}
+    return {worker for worker in fleet.silence_reports if is_silent(fleet, worker, now)}
 
 
 def is_silent(fleet: Fleet, worker: WorkerId, now: Millis) -> bool:
     """Tell whether this box leaves a worker out for what boxes told of it."""
     row = fleet.workers.rows.get(worker)
-    reports = fleet.silences.get(worker)
+    reports = fleet.silence_reports.get(worker)
     if row is None or not reports:
         return False
     drawn = unit_hash("silence", f"{fleet.me.box}/{worker}")
--- a/src/spanshunt/systems/tallies.py
+++ b/src/spanshunt/systems/tallies.py
@@ -4,13 +4,13 @@
 from ..ids import ServiceId
 from ..tables.fleet import Fleet
 from ..tables.rollouts import EPOCH_MS
-from ..tables.rollouts import EvidenceKey
 from ..tables.rollouts import Finding
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Tallies
 from ..tables.rollouts import Tally
+from ..tables.rollouts import TallyKey
 from ..tables.rollouts import Verdict
-from ..tables.rollouts import WorkerKey
+from ..tables.rollouts import WorkerTallyKey
 from ..tables.workers import WorkerRow
 from ..utils import unit_hash
 
@@ -52,12 +52,12 @@
     row = fleet.rollouts.rows.get(service)
     if row is None or row.verdict is Verdict.ROLLED_BACK:
         return
-    row.changes += 1
+    row.change_count += 1
     entering = row.version in worker.versions
     epoch = max(0, now - row.began) // EPOCH_MS
-    row.own.routes.setdefault(EvidenceKey(route, entering, epoch), Tally()).add(seen)
+    row.own.routes.setdefault(TallyKey(route, entering, epoch), Tally()).add(seen)
     if _is_sampled(fleet, row, worker):
-        key = WorkerKey(worker.incarnation, entering)
+        key = WorkerTallyKey(worker.incarnation, entering)
         row.own.workers.setdefault(key, Tally()).add(seen)
 
 
@@ -76,9 +76,11 @@
     They are added up once for all that looks at them between two changes: a judgement
     looks three times.
     """
-    if row.total_at != row.changes:
-        row.total = add_up(row.own, *row.near.values(), *row.far.values())
-        row.total_at = row.changes
+    if row.total_change_count != row.change_count:
+        row.total = add_up(
+            row.own, *row.same_domain.values(), *row.other_domains.values()
+        )
+        row.total_change_count = row.change_count
     return row.total
 
 
--- a/src/spanshunt/systems/throttling.py
+++ b/src/spanshunt/systems/throttling.py
@@ -103,7 +103,7 @@
     grants = _refresh(fleet, row, limit.per_s, now)
     opens_at = grants.next_grant_at
     if not may_be_alone(fleet, now):
-        opens_at = max(opens_at, fleet.alone_until)
+        opens_at = max(opens_at, fleet.discovery_until)
     wait_ms = 0 if eager else YOUNG_MS
     return Millis(math.ceil(max(0.0, opens_at + wait_ms - now)))
 
@@ -134,7 +134,7 @@
     A word on another life of the worker, or on one that has ended, tells nothing.
     """
     row = fleet.workers.rows.get(worker)
-    if row is None or row.started_at != born or limit.at < row.notices_since:
+    if row is None or row.born != born or limit.at < row.notices_since:
         return None
     return row if take_limit(fleet, row, limit, now) else None
 
--- a/src/spanshunt/systems/timing.py
+++ b/src/spanshunt/systems/timing.py
@@ -3,7 +3,7 @@
 from ..ids import Millis
 from ..ids import ModelId
 from ..tables.catalog import RouteRow
-from ..tables.fleet import FirstTimes
+from ..tables.fleet import FirstByteTimes
 from ..tables.fleet import Fleet
 from ..tables.workers import WorkerRow
 
@@ -61,7 +61,7 @@
 
 def usual_first_ms(fleet: Fleet, route: RouteRow, model: ModelId, read: int) -> float:
     """Return the usual time to the first byte of a prompt of `read` tokens, in ms."""
-    usual = fleet.first_times.get((route.name, model))
+    usual = fleet.first_byte_times.get((route.name, model))
     if usual is None:
         return 0.0
     return usual.first_ms * max(1.0, read / max(1.0, usual.read))
@@ -84,9 +84,9 @@
     does not make slowness usual at once.
     """
     key = (route.name, model)
-    usual = fleet.first_times.get(key)
+    usual = fleet.first_byte_times.get(key)
     if usual is None:
-        fleet.first_times[key] = FirstTimes(first_ms, read)
+        fleet.first_byte_times[key] = FirstByteTimes(first_ms, read)
         return
     bound = max(SLOW_LEAST_MS, SLOW_FACTOR * usual.first_ms)
     usual.answers += 1
--- a/src/spanshunt/systems/warming.py
+++ b/src/spanshunt/systems/warming.py
@@ -66,5 +66,5 @@
     if service is None or service.cold_per_s <= 0.0:
         return 0.0
     bounds = fleet.cold_bounds
-    most = service.cold_per_s * bounds.over + bounds.slack
+    most = service.cold_per_s * bounds.rate_factor + bounds.slack
     return min(service.cold_per_s, BOUND_PART * most)
--- a/src/spanshunt/systems/watching.py
+++ b/src/spanshunt/systems/watching.py
@@ -40,9 +40,9 @@
     """Look now and then whether a version that succeeded turned bad, and note it."""
     if row.verdict is not Verdict.SUCCEEDED or row.turned_bad:
         return
-    if now < row.looked_at + LOOK_MS:
+    if now < row.turned_bad_checked_at + LOOK_MS:
         return
-    row.looked_at = now
+    row.turned_bad_checked_at = now
     suspicion = later_suspicion(pooled(row))
     if suspicion.log_evidence >= LATE_EVIDENCE:
         row.turned_bad = suspicion.reason
@@ -66,7 +66,7 @@
     return any(
         out.isdisjoint(worker.versions)
         and worker.name not in fleet.workers.leaving
-        and worker.name not in fleet.missing
+        and worker.name not in fleet.missing_workers
         for worker in fleet.workers.find_capable(row.service, None)
     )
 
@@ -76,9 +76,13 @@
     for row in fleet.rollouts.rows.values():
         if row.verdict is not Verdict.SUCCEEDED:
             continue
-        row.changes += 1
+        row.change_count += 1
         oldest = (now - row.began) // EPOCH_MS - WATCHED_EPOCHS
-        for tallies in (row.own, *row.near.values(), *row.far.values()):
+        for tallies in (
+            row.own,
+            *row.same_domain.values(),
+            *row.other_domains.values(),
+        ):
             for key in [key for key in tallies.routes if key.epoch < oldest]:
                 del tallies.routes[key]
 
--- a/src/spanshunt/systems/worker_choice.py
+++ b/src/spanshunt/systems/worker_choice.py
@@ -75,7 +75,7 @@
     are exact. Others' part is taken at half, as some of it has ended by now and each
     of many boxes would else run from the same old report to the same worker.
     """
-    others = max(0, row.reported_inflight - row.own_inflight_at_report)
+    others = max(0, row.reported - row.own_inflight_at_report)
     return (row.inflight + _REMOTE_WEIGHT * others) / max(1, row.slots)
 
 
--- a/src/spanshunt/systems/worker_health.py
+++ b/src/spanshunt/systems/worker_health.py
@@ -32,7 +32,7 @@
 
 def note_load(row: WorkerRow, load: Load, now: Millis) -> None:
     """Take a worker's own word of its load into its row."""
-    row.reported_inflight = load.running + load.waiting
+    row.reported = load.running + load.waiting
     row.queued = load.waiting
     row.own_inflight_at_report = row.inflight
     row.slots = max(1, load.slots)
--- a/src/spanshunt/tables/engines.py
+++ b/src/spanshunt/tables/engines.py
@@ -21,7 +21,7 @@
 
     Attributes
     ----------
-    token_ms : float
+    read_ms : float
         Prefill time for one prompt token that is not cached, in ms.
     base_ms : float
         Time to the first event without prefill, in ms.
@@ -29,7 +29,7 @@
         Number of answers that the estimate is based on.
     """
 
-    token_ms: float
+    read_ms: float
     base_ms: float
     answers: int = 1
 
--- a/src/spanshunt/tables/fleet.py
+++ b/src/spanshunt/tables/fleet.py
@@ -20,10 +20,10 @@
 from .engines import RecentPrefill
 from .identity import Identity
 from .rollouts import Rollouts
+from .settings_state import PeerSettings
 from .settings_state import SettingsRow
-from .settings_state import ToldSettings
-from .suspects import Break
-from .suspects import Suspect
+from .suspects import BrokenConnection
+from .suspects import SuspectRequest
 from .workers import Workers
 
 
@@ -49,7 +49,7 @@
     clock_ahead : int or None
         Upper bound of how far the peer's clock is ahead of this box's, in ms, from its
         last answer.
-    settings : ToldSettings
+    settings : PeerSettings
         Settings in force at the peer, as the peer reports them.
     followers : tuple of str
         Boxes that follow the operators' records, reported by the first box of each
@@ -66,7 +66,7 @@
     served: bool = True
     catalog_version: int = -1
     clock_ahead: int | None = None
-    settings: ToldSettings = ToldSettings()
+    settings: PeerSettings = PeerSettings()
     followers: tuple[BoxId, ...] = ()
 
 
@@ -93,7 +93,7 @@
     answers: int = 0
 
 
-class FirstTimes(msgspec.Struct):
+class FirstByteTimes(msgspec.Struct):
     """Usual time to the first byte, in ms, and usual prompt length, in tokens.
 
     Both are moving means over ``answers`` answers.
@@ -137,13 +137,13 @@
 
     Attributes
     ----------
-    over : float
+    rate_factor : float
         Allowed multiple of the rate that a cold worker can take.
     slack : float
         Requests a second allowed in addition.
     """
 
-    over: float = 1.0
+    rate_factor: float = 1.0
     slack: float = 0.0
 
 
@@ -186,7 +186,7 @@
     source: BoxId = BoxId("")
 
 
-class Readings(msgspec.Struct):
+class ListReadStreak(msgspec.Struct):
     """Time span in which boxes read the workers' list without a gap.
 
     Attributes
@@ -214,10 +214,10 @@
         The catalog in its received, packed form, for sending to peers.
     catalog_proof : CatalogProof
         Proof that the catalog is the newest.
-    proved_before_me : int
+    earlier_proof_at : int
         Time of the newest catalog proof reported from a box whose name sorts before
         this one, in ms; -1 for never.
-    waiting_since : int
+    long_poll_since : int
         Start of this box's pending long poll for operators' records, in ms; -1 for
         none.
     workers : Workers
@@ -227,26 +227,26 @@
     workers_read_at : int
         When that list was read from the store, by this box or by the peer that sent
         it, in ms; -1 for never.
-    readings : Readings
+    list_read_streak : ListReadStreak
         Time span without a gap between reads of the list by any known box.
-    missing : set
+    missing_workers : set
         Workers that are absent from the list just after a restore of the store; their
         entries may return.
-    silences : dict
+    silence_reports : dict
         When a box found a worker silent, in ms, by worker and reporting box.
-    breaks : dict
+    broken_connections : dict
         Connections that recently broke during a request, by worker.
-    suspects : dict
+    suspect_requests : dict
         Request contents suspected of crashing workers.
-    kept_known : bool
+    quarantine_known : bool
         Whether this box has read the quarantined contents recorded in the store.
-    sound : dict
+    last_completed : dict
         When this box last returned a complete answer to a content, in ms, oldest first.
     peers : dict
         Other boxes by name.
-    boxes_told : int
+    reported_box_count : int
         The greatest number of boxes that any peer reports, including that peer.
-    alone_until : int
+    discovery_until : int
         Until when this box assumes that undiscovered peers exist, in ms.
     cold_bounds : ColdBounds
         Bounds of the requests that a worker may get while it is cold.
@@ -265,7 +265,7 @@
     repeat_prices : dict
         Shadow price of repeating a request for quality, by service, in the catalog's
         price unit; above 0 while the retry budget is nearly used up.
-    first_times : dict
+    first_byte_times : dict
         Usual times to the first byte by route name and model ("" where it has none).
     prefill_speeds : dict
         Prefill speed of engines, by service and model.
@@ -278,12 +278,12 @@
         The newest prompts that this box sent to engines not known to have them cached.
     lateness : dict
         Mean lateness of the newest answers, in 0 to 1, by service.
-    engine_worths : dict
+    gain_per_engine_ms : dict
         Usual value gained by a larger model's answer for each ms of engine time, by
         service, in the catalog's price unit.
     store : StoreHealth
         Health of the platform's store.
-    stale_until : int
+    wake_hold_until : int
         Until when requests are held after the box resumed from sleep, unless a peer
         or the store is heard first, in ms.
     stopping : bool
@@ -295,21 +295,21 @@
     catalog: Catalog | None = None
     catalog_packed: bytes = b""
     catalog_proof: CatalogProof = CatalogProof()
-    proved_before_me: Millis = Millis(-1)
-    waiting_since: Millis = Millis(-1)
+    earlier_proof_at: Millis = Millis(-1)
+    long_poll_since: Millis = Millis(-1)
     workers: Workers = msgspec.field(default_factory=Workers)
     workers_end: Offset = Offset(-1)
     workers_read_at: Millis = Millis(-1)
-    readings: Readings = msgspec.field(default_factory=Readings)
-    missing: set[WorkerId] = set()
-    silences: dict[WorkerId, dict[BoxId, Millis]] = {}
-    breaks: dict[WorkerId, list[Break]] = {}
-    suspects: dict[Fingerprint, Suspect] = {}
-    kept_known: bool = False
-    sound: dict[Fingerprint, Millis] = {}
+    list_read_streak: ListReadStreak = msgspec.field(default_factory=ListReadStreak)
+    missing_workers: set[WorkerId] = set()
+    silence_reports: dict[WorkerId, dict[BoxId, Millis]] = {}
+    broken_connections: dict[WorkerId, list[BrokenConnection]] = {}
+    suspect_requests: dict[Fingerprint, SuspectRequest] = {}
+    quarantine_known: bool = False
+    last_completed: dict[Fingerprint, Millis] = {}
     peers: dict[BoxId, PeerRow] = {}
-    boxes_told: int = 0
-    alone_until: Millis = Millis(0)
+    reported_box_count: int = 0
+    discovery_until: Millis = Millis(0)
     cold_bounds: ColdBounds = ColdBounds()
     evacuations: dict[DomainId, EvacuationRow] = {}
     outages: dict[DomainId, DomainOutage] = {}
@@ -318,7 +318,7 @@
     traffic: dict[ServiceId, Traffic] = {}
     models: dict[ModelId, ModelStats] = {}
     repeat_prices: dict[ServiceId, float] = {}
-    first_times: dict[tuple[str, ModelId], FirstTimes] = {}
+    first_byte_times: dict[tuple[str, ModelId], FirstByteTimes] = {}
     prefill_speeds: dict[tuple[ServiceId, ModelId], PrefillSpeed] = {}
     decode_speeds: dict[tuple[ServiceId, ModelId], DecodeSpeed] = {}
     unseen_cache_rates: dict[tuple[ServiceId, ModelId], float] = {}
@@ -326,9 +326,9 @@
         default_factory=lambda: collections.deque(maxlen=16)
     )
     lateness: dict[ServiceId, float] = {}
-    engine_worths: dict[ServiceId, float] = {}
+    gain_per_engine_ms: dict[ServiceId, float] = {}
     store: StoreHealth = msgspec.field(default_factory=StoreHealth)
-    stale_until: Millis = Millis(0)
+    wake_hold_until: Millis = Millis(0)
     stopping: bool = False
 
     @property
--- a/src/spanshunt/tables/rollouts.py
+++ b/src/spanshunt/tables/rollouts.py
@@ -61,7 +61,7 @@
         self.timed += other.timed
         self.slow += other.slow
 
-    def raise_to(self, other: "Tally") -> None:
+    def merge(self, other: "Tally") -> None:
         """Merge other counts of the same answers by maximum, as counts only rise."""
         self.answers = max(self.answers, other.answers)
         self.failed = max(self.failed, other.failed)
@@ -77,7 +77,7 @@
         return self.failed if finding is Finding.FAILED else self.slow
 
 
-class EvidenceKey(msgspec.Struct, frozen=True):
+class TallyKey(msgspec.Struct, frozen=True):
     """Key of a tally: a route, the leaving or the entering version, and an epoch.
 
     Epochs are numbered from when the counting box first saw the order.
@@ -88,7 +88,7 @@
     epoch: int
 
 
-class WorkerKey(msgspec.Struct, frozen=True):
+class WorkerTallyKey(msgspec.Struct, frozen=True):
     """Key of a worker's tally: one run of it, and whether of the entering version."""
 
     worker: WorkerIncarnation
@@ -106,11 +106,11 @@
         Tallies by worker since the order; a sample if there are many workers.
     """
 
-    routes: dict[EvidenceKey, Tally] = {}
-    workers: dict[WorkerKey, Tally] = {}
+    routes: dict[TallyKey, Tally] = {}
+    workers: dict[WorkerTallyKey, Tally] = {}
 
 
-class Against(msgspec.Struct, frozen=True):
+class RecordedSuspicion(msgspec.Struct, frozen=True):
     """A suspicion against an entering version, as recorded in the store.
 
     Attributes
@@ -157,22 +157,22 @@
         Whether the verdict is known to be recorded in the platform's store.
     announced : bool
         Whether the start of the roll-out is known to be recorded there.
-    against : Against or None
+    recorded_suspicion : RecordedSuspicion or None
         The suspicion recorded in the platform's store; None for none.
     suspected_at : int
         Since when this box has a stronger suspicion than the recorded one, in ms; -1
         for none.
     judged_at : int
         When this box learned of the verdict, in ms.
-    sound_at : int
+    succeeded_since : int
         Since when this box judges the version successful without a recorded verdict, in
         ms; -1 for not.
     turned_bad : str
         Evidence that the version turned bad after its success, as text for operators;
         empty for none.
-    looked_at : int
+    turned_bad_checked_at : int
         When this box last checked whether the version turned bad, in ms.
-    way_back_recorded : bool
+    rollback_recorded : bool
         Whether the rollback after `turned_bad` is known to be recorded.
     extra : float
         Share of the order's requests that the entering version may get on top of the
@@ -183,7 +183,7 @@
     barred : frozenset of str
         Versions that were rolled back in earlier orders; their workers may still be
         listed.
-    newest : int
+    newest_order : int
         The order's newest offset in the stream, as the order may be written again after
         the store was restored from a copy. Another order with a greater offset replaces
         this row.
@@ -191,15 +191,15 @@
         The newest offset of the order that this one replaced; -1 for none.
     own : Tallies
         Tallies of this box.
-    near : dict
+    same_domain : dict
         Tallies of the other boxes in this failure domain, by incarnation.
-    far : dict
+    other_domains : dict
         Summed tallies of the other failure domains.
-    changes : int
+    change_count : int
         Number of changes to any of these tallies.
     total : Tallies
         Cached sum of the tallies, read through `pooled`.
-    total_at : int
+    total_change_count : int
         The number of changes at which `total` was computed; -1 for never.
     """
 
@@ -213,27 +213,27 @@
     reason: str = ""
     recorded: bool = False
     announced: bool = False
-    against: Against | None = None
+    recorded_suspicion: RecordedSuspicion | None = None
     suspected_at: Millis = Millis(-1)
     judged_at: Millis = Millis(0)
-    sound_at: Millis = Millis(-1)
+    succeeded_since: Millis = Millis(-1)
     turned_bad: str = ""
-    looked_at: Millis = Millis(0)
-    way_back_recorded: bool = False
+    turned_bad_checked_at: Millis = Millis(0)
+    rollback_recorded: bool = False
     extra: float = 0.0
     full_from_ms: int = 0
     barred: frozenset[VersionId] = frozenset()
-    newest: Offset = Offset(-1)
+    newest_order: Offset = Offset(-1)
     before: Offset = Offset(-1)
     own: Tallies = msgspec.field(default_factory=Tallies)
-    near: dict[Incarnation, Tallies] = {}
-    far: dict[DomainId, Tallies] = {}
-    changes: int = 0
+    same_domain: dict[Incarnation, Tallies] = {}
+    other_domains: dict[DomainId, Tallies] = {}
+    change_count: int = 0
     total: Tallies = msgspec.field(default_factory=Tallies)
-    total_at: int = -1
+    total_change_count: int = -1
 
 
-class ExposeBounds(msgspec.Struct, frozen=True):
+class ExposureBounds(msgspec.Struct, frozen=True):
     """Bounds of a bad version's requests: a share of the order's, and a number."""
 
     share: float = 0.15
@@ -245,11 +245,11 @@
 
     Attributes
     ----------
-    bounds : ExposeBounds
+    bounds : ExposureBounds
         Bounds of the requests that a bad version may get.
     rows : dict
         The newest order of each service.
     """
 
-    bounds: ExposeBounds = ExposeBounds()
+    bounds: ExposureBounds = ExposureBounds()
     rows: dict[ServiceId, RolloutRow] = {}
--- a/src/spanshunt/tables/settings_state.py
+++ b/src/spanshunt/tables/settings_state.py
@@ -30,7 +30,7 @@
     waiting: tuple[str, ...] = ()
 
 
-class ToldSettings(msgspec.Struct, frozen=True):
+class PeerSettings(msgspec.Struct, frozen=True):
     """The settings of another box, as that box reports them.
 
     Attributes
--- a/src/spanshunt/tables/suspects.py
+++ b/src/spanshunt/tables/suspects.py
@@ -9,12 +9,12 @@
 from ..ids import VersionId
 from ..ids import WorkerIncarnation
 
-SOUND_MS = 60_000
+CLEARED_MS = 60_000
 """How long a complete answer clears a content, in ms. A content that crashes workers is
 never answered, while a harmless frequent one meets ending workers by chance."""
 
 
-class Break(msgspec.Struct, frozen=True):
+class BrokenConnection(msgspec.Struct, frozen=True):
     """An attempt whose connection ended before its answer was complete.
 
     Attributes
@@ -32,7 +32,7 @@
     at: Millis
 
 
-class Suspect(msgspec.Struct):
+class SuspectRequest(msgspec.Struct):
     """A request content suspected of crashing workers.
 
     Attributes
@@ -45,7 +45,7 @@
         Runs of workers that ended while processing the content, and when, in ms.
     versions : set of str
         Versions that these workers ran.
-    sound_at : int
+    cleared_at : int
         When a worker last answered the content completely and went on running, or an
         operator released the content, in ms; -1 for never. Earlier ends do not count.
     shared : bool
@@ -54,9 +54,9 @@
         one.
     changed_at : int
         When this row last changed, in ms.
-    kept_by : str
+    quarantined_by : str
         The first box by name that decided to quarantine the content; empty for none.
-    kept_at : int
+    quarantined_at : int
         When this box quarantined the content or heard of the quarantine, in ms; -1 for
         never.
     recorded : bool
@@ -69,17 +69,17 @@
     service: ServiceId
     ends: dict[WorkerIncarnation, Millis] = {}
     versions: set[VersionId] = set()
-    sound_at: Millis = Millis(-1)
+    cleared_at: Millis = Millis(-1)
     shared: bool = False
     changed_at: Millis = Millis(0)
-    kept_by: BoxId = BoxId("")
-    kept_at: Millis = Millis(-1)
+    quarantined_by: BoxId = BoxId("")
+    quarantined_at: Millis = Millis(-1)
     recorded: bool = False
     dropped_at: Millis = Millis(-1)
 
-    def counted(self) -> dict[WorkerIncarnation, Millis]:
-        """Return the ends later than `SOUND_MS` after the last complete answer."""
-        since = self.sound_at + SOUND_MS if self.sound_at >= 0 else -1
+    def counted_ends(self) -> dict[WorkerIncarnation, Millis]:
+        """Return the ends later than `CLEARED_MS` after the last complete answer."""
+        since = self.cleared_at + CLEARED_MS if self.cleared_at >= 0 else -1
         return {life: at for life, at in self.ends.items() if at > since}
 
     def last_end(self) -> Millis:
--- a/src/spanshunt/tables/workers.py
+++ b/src/spanshunt/tables/workers.py
@@ -46,7 +46,7 @@
         Whether the worker gets new requests.
     inflight : int
         Exact number of requests of this box that the worker is answering.
-    reported_inflight : int
+    reported : int
         Requests of all boxes in progress, by the worker's last report.
     own_inflight_at_report : int
         Requests of this box in progress at the time of that report.
@@ -77,13 +77,13 @@
         from the times of answers.
     unreported_prefill_at : int
         When that was last estimated, in ms.
-    prompt_cache : PromptCache
+    kept : PromptCache
         Prompt parts that the engine probably has cached.
     listed_at : int
         When a list last contained the worker, in ms.
     last_byte_at : int
         When the last byte arrived from the worker, on any request, in ms.
-    started_at : int
+    born : int
         When this run of the worker began, in ms since the Unix epoch, as the worker
         reports; 0 if it does not.
     ended_at : int
@@ -120,7 +120,7 @@
     versions: frozenset[VersionId] = frozenset()
     state: WorkerState = WorkerState.LIVE
     inflight: int = 0
-    reported_inflight: int = 0
+    reported: int = 0
     own_inflight_at_report: int = 0
     slots: int = 16
     reported_at: Millis = Millis(0)
@@ -134,10 +134,10 @@
     peer_prefill_ms: dict[BoxId, tuple[float, Millis]] = {}
     unreported_prefill_ms: float = 0.0
     unreported_prefill_at: Millis = Millis(0)
-    prompt_cache: PromptCache = msgspec.field(default_factory=PromptCache)
+    kept: PromptCache = msgspec.field(default_factory=PromptCache)
     listed_at: Millis = Millis(0)
     last_byte_at: Millis = Millis(0)
-    started_at: Millis = Millis(0)
+    born: Millis = Millis(0)
     ended_at: Millis = Millis(-1)
     return_count: int = 0
     cold_until: Millis = Millis(0)
@@ -159,7 +159,7 @@
     @property
     def incarnation(self) -> WorkerIncarnation:
         """Identifies this run of the worker, as a name may be reused by a later run."""
-        start_suffix = f"/{self.started_at}" if self.started_at else ""
+        start_suffix = f"/{self.born}" if self.born else ""
         return_suffix = f"+{self.return_count}" if self.return_count else ""
         return WorkerIncarnation(f"{self.name}{start_suffix}{return_suffix}")
 
--- a/src/spanshunt/waking.py
+++ b/src/spanshunt/waking.py
@@ -49,7 +49,7 @@
 def take_wake(core: Core, slept: Millis) -> None:
     """Set the limits of requests under way anew, and ask peers for what is new."""
     now = core.clock.now()
-    core.fleet.stale_until = Millis(now + REFRESH_MS)
+    core.fleet.wake_hold_until = Millis(now + REFRESH_MS)
     for state in core.running.values():
         end_in(state, state.limit - now)
     core.count("wakes")
--- a/src/spanshunt/watchers.py
+++ b/src/spanshunt/watchers.py
@@ -121,7 +121,7 @@
                 report = msgspec.json.decode(await answer.read(), type=LoadReport)
         except (TimeoutError, aiohttp.ClientError, msgspec.MsgspecError):
             return
-        row.reported_inflight = report.running + report.waiting
+        row.reported = report.running + report.waiting
         row.own_inflight_at_report = min(before, row.inflight)
         row.slots = max(1, report.slots)
         row.reported_at = self._clock.now()
--- a/src/spanshunt/worker_notices.py
+++ b/src/spanshunt/worker_notices.py
@@ -177,7 +177,7 @@
     """Take in which workers told a peer, or one that it heard of, that they leave."""
     for told in news.leavings:
         row = fleet.workers.rows.get(told.worker)
-        if row is None or row.started_at != told.born:
+        if row is None or row.born != told.born:
             continue
         at = Millis((now if told_at is None else told_at) - told.age_ms)
         if at >= row.notices_since and note_leaving(
--- a/tests/test_estimating.py
+++ b/tests/test_estimating.py
@@ -100,7 +100,7 @@
         row.unreported_prefill_ms = 0.0
         answer(fleet, row, effort, first_ms, number)
     speed = speed_of(fleet, effort.service, effort.model)
-    assert speed.token_ms == pytest.approx(0.05 * factor, rel=0.25)
+    assert speed.read_ms == pytest.approx(0.05 * factor, rel=0.25)
 
 
 def test_wait_that_nobody_told_of_does_not_count_as_slow_reading():
@@ -112,7 +112,7 @@
         late = 900.0 if rng.random() < 0.25 else 0.0
         answer(fleet, row, effort, 210.0 + late, number)
     speed = speed_of(fleet, effort.service, effort.model)
-    assert speed.token_ms * 4_000 + speed.base_ms == pytest.approx(210.0, rel=0.3)
+    assert speed.read_ms * 4_000 + speed.base_ms == pytest.approx(210.0, rel=0.3)
 
 
 def test_late_answer_tells_of_others_and_is_forgotten():
@@ -148,9 +148,9 @@
 def test_model_not_met_yet_is_slower_as_it_is_dearer():
     fleet, _ = a_fleet(read_ms=None)
     effort = an_effort("large")
-    assert speed_of(fleet, effort.service, effort.model).token_ms == 0.0
+    assert speed_of(fleet, effort.service, effort.model).read_ms == 0.0
     learn_speed(fleet, "small", read_ms=0.01)
-    assert speed_of(fleet, effort.service, effort.model).token_ms == pytest.approx(0.2)
+    assert speed_of(fleet, effort.service, effort.model).read_ms == pytest.approx(0.2)
 
 
 def test_boxes_come_to_agree_on_a_speed_and_a_new_one_takes_it_over():
@@ -158,10 +158,10 @@
     key = (ServiceId("writer"), ModelId("large"))
     for _ in range(30):
         take_speed(fleet, *key, PrefillSpeed(0.2, 30.0))
-    assert fleet.prefill_speeds[key].token_ms == pytest.approx(0.2, rel=0.05)
+    assert fleet.prefill_speeds[key].read_ms == pytest.approx(0.2, rel=0.05)
     fresh = make_fleet()
     take_speed(fresh, *key, PrefillSpeed(0.2, 30.0))
-    assert fresh.prefill_speeds[key].token_ms == 0.2
+    assert fresh.prefill_speeds[key].read_ms == 0.2
 
 
 def test_prompt_read_elsewhere_is_known_where_it_was_told():
@@ -187,7 +187,7 @@
     effort = an_effort(read=4_000, shared=3_000)
     for number in range(60):
         row.unreported_prefill_ms = 0.0
-        row.prompt_cache.parts.clear()
+        row.kept.parts.clear()
         expected = estimate_first(fleet, row, effort, ms(number), owner=True)
         assert expected.unseen
         note_first_event(fleet, row, effort, expected, 110.0, ms(number))
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -130,7 +130,7 @@
     clock.advance(5_000)
     exchange.take(msgspec.structs.replace(news, workers_end=5, told_at=9_000))
     assert fleet.workers_end == 5
-    assert fleet.workers_read_at == fleet.readings.last == clock.now() - 5_100
+    assert fleet.workers_read_at == fleet.list_read_streak.last == clock.now() - 5_100
 
 
 def a_listed_fleet() -> Fleet:
--- a/tests/test_fleet_report.py
+++ b/tests/test_fleet_report.py
@@ -52,7 +52,7 @@
     fleet = with_workers("a", "b", "c", "d")
     fleet.workers.leaving.add("a")
     note_unreached(fleet.workers.rows["b"], ms(100))
-    fleet.missing.add("c")
+    fleet.missing_workers.add("c")
     out = {row.worker: row.out for row in view_of(fleet).workers}
     assert out["a"] == "leaving"
     assert out["b"].startswith("failed 1 times; out for")
--- a/tests/test_following_workers.py
+++ b/tests/test_following_workers.py
@@ -112,9 +112,9 @@
     for at in (1, 2, 3):
         note_reading(fleet, ms(at), unbroken_since=ms(0))
     note_reading(fleet, ms(8), unbroken_since=ms(7.5))
-    assert fleet.readings.since == ms(7.5)
+    assert fleet.list_read_streak.since == ms(7.5)
     note_reading(fleet, ms(3), unbroken_since=ms(0))
-    assert fleet.readings.since == ms(7.5)
+    assert fleet.list_read_streak.since == ms(7.5)
 
 
 def test_entry_that_comes_back_is_used_again():
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -105,10 +105,7 @@
         async with running_fleet() as fleet:
             reply = await fleet.ask(fleet.boxes[0], "/long/", Prompt_Prefix=parts)
             assert reply.status == 200
-            kept = [
-                row.prompt_cache
-                for row in fleet.boxes[0].node.fleet.workers.rows.values()
-            ]
+            kept = [row.kept for row in fleet.boxes[0].node.fleet.workers.rows.values()]
             assert sum(one.tokens for one in kept) in (1_000, 2_000)
 
     async def test_full_workers_are_a_true_refusal(self):
--- a/tests/test_leaving_words.py
+++ b/tests/test_leaving_words.py
@@ -129,7 +129,7 @@
 async def test_odd_word_does_not_hide_the_others():
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
-        box.node.fleet.alone_until = ms(0)
+        box.node.fleet.discovery_until = ms(0)
         for worker in fleet.workers.values():
             worker.says |= {"Server-Leaving": "0", "Server-Limit": "700"}
         assert (await fleet.ask(box, "/look/")).status == 200
@@ -155,10 +155,10 @@
 
 def test_next_life_of_a_worker_is_not_leaving():
     fleet = fleet_with("a")
-    fleet.workers.rows["a"].started_at = Millis(10)
+    fleet.workers.rows["a"].born = Millis(10)
     note_leaving(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME))
     again = make_worker("a")
-    again.started_at = Millis(20)
+    again.born = Millis(20)
     take_list(fleet, [ListedWorker(again, False)], Offset(4), ms(3))
     assert "a" not in fleet.workers.leaving
     told = LeavingNews(WorkerId("a"), 10, 0, BoxId("box-2"))
@@ -188,14 +188,14 @@
 def test_words_outlast_an_entry_that_goes_and_comes_back_in_the_same_life():
     fleet = fleet_with("a")
     row = fleet.workers.rows["a"]
-    row.started_at = Millis(10)
+    row.born = Millis(10)
     note_leaving(fleet, row, LeavingNotice(ms(1), ME))
     take_limit(fleet, row, RateLimit(1.5, ms(1), ME), ms(1))
     note_rest(row, Millis(60_000), ms(1))
     take_list(fleet, [], Offset(4), ms(2))
     assert "a" not in fleet.workers.rows
     back = make_worker("a")
-    back.started_at = Millis(10)
+    back.born = Millis(10)
     take_list(fleet, [ListedWorker(back, False)], Offset(5), ms(3))
     again = fleet.workers.rows["a"]
     assert "a" in fleet.workers.leaving
@@ -206,11 +206,11 @@
 def test_words_of_a_former_life_end_with_it():
     fleet = fleet_with("a")
     row = fleet.workers.rows["a"]
-    row.started_at = Millis(10)
+    row.born = Millis(10)
     note_leaving(fleet, row, LeavingNotice(ms(1), ME))
     take_list(fleet, [], Offset(4), ms(2))
     later = make_worker("a")
-    later.started_at = Millis(20)
+    later.born = Millis(20)
     take_list(fleet, [ListedWorker(later, False)], Offset(5), ms(3))
     assert "a" not in fleet.workers.leaving
     assert fleet.workers.rows["a"].leaving is None
--- a/tests/test_many_boxes.py
+++ b/tests/test_many_boxes.py
@@ -125,7 +125,7 @@
         for engine in play.engines.values():
             dark.strike(play, engine)
         await play.call_until(6.0)
-        return max(len(box.fleet.silences) for box in play.boxes.values())
+        return max(len(box.fleet.silence_reports) for box in play.boxes.values())
 
     assert run(playing) == 0
     assert dark.tried
--- a/tests/test_node_store.py
+++ b/tests/test_node_store.py
@@ -138,8 +138,8 @@
         await asyncio.sleep(READ_GAP_MS / 1_000)
         await fleet.store.put("keyed.servers", "p-1", None)
         box.endpoint.fault = EndpointFault.NONE
-        await until(lambda: "p-1" in box.node.fleet.missing, "p-1 is missed")
+        await until(lambda: "p-1" in box.node.fleet.missing_workers, "p-1 is missed")
         assert "p-1" in box.node.fleet.workers.rows
         await fleet.list_worker("p-1", service="web")
-        await until(lambda: "p-1" not in box.node.fleet.missing, "p-1 is back")
+        await until(lambda: "p-1" not in box.node.fleet.missing_workers, "p-1 is back")
         assert "p-1" in box.node.fleet.workers.rows
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -53,7 +53,7 @@
 from spanshunt.tables.fleet import EvacuationRow
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.rollouts import Verdict
-from spanshunt.tables.suspects import Suspect
+from spanshunt.tables.suspects import SuspectRequest
 
 SERVICE = ServiceId("writer")
 NORTH = DomainId("north")
@@ -352,10 +352,16 @@
         node = fleet.boxes[0].node
         now = node.clock.now()
         lives = [WorkerIncarnation(f"w-{n}") for n in range(ENDS_MOST)]
-        row = Suspect(Fingerprint("f" * 16), SERVICE, ends=dict.fromkeys(lives, now))
-        row.kept_at, row.kept_by, row.shared = now, node.fleet.me.box, True
+        row = SuspectRequest(
+            Fingerprint("f" * 16), SERVICE, ends=dict.fromkeys(lives, now)
+        )
+        row.quarantined_at, row.quarantined_by, row.shared = (
+            now,
+            node.fleet.me.box,
+            True,
+        )
         row.changed_at = now
-        node.fleet.suspects[row.fingerprint] = row
+        node.fleet.suspect_requests[row.fingerprint] = row
         topic = fleet.store.topic
         await until(lambda: topic("keyed.kept-back").end == 1, "a record")
         await fleet.store.come_back(kept)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -151,7 +151,7 @@
             assert reply.status == 400
     settled = mine(traced(path, "k2"))[-1]
     assert "outcome=kept-back" in settled
-    content = next(iter(box.node.fleet.suspects))
+    content = next(iter(box.node.fleet.suspect_requests))
     assert content in settled
     first = traced(path, "k1")
     sent = [line for line in mine(first) if "dispatch" in line]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -49,7 +49,7 @@
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
-from spanshunt.tables.suspects import Suspect
+from spanshunt.tables.suspects import SuspectRequest
 
 DEADLY = b"the request that ends its worker"
 
@@ -143,8 +143,8 @@
     async with deadly_fleet(boxes=2) as (fleet, deadly):
         await fleet.ask(fleet.boxes[0], "/long/x", body=DEADLY)
         assert len(deadly.ended_at) == 3
-        content = next(iter(fleet.boxes[0].node.fleet.suspects))
-        known = fleet.boxes[1].node.fleet.suspects
+        content = next(iter(fleet.boxes[0].node.fleet.suspect_requests))
+        known = fleet.boxes[1].node.fleet.suspect_requests
         await until(lambda: content in known, "the other box is told", wait=1.0)
         for box in fleet.boxes:
             reply = await fleet.ask(box, "/long/x", body=DEADLY)
@@ -188,7 +188,9 @@
             box.node.fleet.stopping = True
         fresh = await fleet.add_box("box-9")
         await until(lambda: not fresh.node.why_not_ready(), "the new box is ready")
-        await until(lambda: bool(fresh.node.fleet.suspects), "it has read the store")
+        await until(
+            lambda: bool(fresh.node.fleet.suspect_requests), "it has read the store"
+        )
         before = len(deadly.ended_at)
         reply = await fleet.ask(fresh, "/long/x", body=DEADLY)
         assert reply.status == 400
@@ -199,14 +201,14 @@
 async def test_operator_lets_a_content_go():
     async with deadly_fleet(boxes=1) as (fleet, _deadly):
         await fleet.ask(fleet.boxes[0], "/long/x", body=DEADLY)
-        content = next(iter(fleet.boxes[0].node.fleet.suspects))
+        content = next(iter(fleet.boxes[0].node.fleet.suspect_requests))
         await asyncio.sleep(0.6)
         for worker in fleet.workers.values():
             worker.ends_on = b""
         said = {"At": fleet.boxes[0].node.clock.wall()}
         await fleet.store.put("keyed.op", f"release/{content}", said)
-        row = fleet.boxes[0].node.fleet.suspects[content]
-        await until(lambda: not row.counted(), "the box heard the operator")
+        row = fleet.boxes[0].node.fleet.suspect_requests[content]
+        await until(lambda: not row.counted_ends(), "the box heard the operator")
         reply = await fleet.ask(fleet.boxes[0], "/long/x", body=DEADLY)
         assert reply.status == 200
         kept = fleet.store.topic("keyed.kept-back").values
@@ -242,7 +244,7 @@
 
 
 def _kept(fleet: Fleet, at: float) -> str:
-    rows = sorted(fleet.suspects.items())
+    rows = sorted(fleet.suspect_requests.items())
     return "".join(name for name, row in rows if newly_kept(fleet, row, ms(at)))
 
 
@@ -349,28 +351,28 @@
         name = Fingerprint(f"flood-{number}")
         note_end_under(fleet, name, row.service, row, ms(10 + number))
         note_sound(fleet, Fingerprint(f"sound-{number}"), ms(10))
-    assert len(fleet.suspects) <= SUSPECTS_MOST
-    assert content in fleet.suspects
+    assert len(fleet.suspect_requests) <= SUSPECTS_MOST
+    assert content in fleet.suspect_requests
 
 
 ROWS = st.builds(
-    Suspect,
+    SuspectRequest,
     fingerprint=st.just(Fingerprint("a")),
     service=st.just(ServiceId("writer")),
     ends=st.dictionaries(st.sampled_from("uvwxyz"), st.integers(0, 9_000), max_size=5),
     versions=st.sets(st.sampled_from(["v1", "v2"])),
-    kept_by=st.sampled_from(["", "box-1", "box-2"]),
+    quarantined_by=st.sampled_from(["", "box-1", "box-2"]),
     recorded=st.booleans(),
 )
 
 
 @given(st.lists(ROWS, min_size=1, max_size=5), st.randoms())
 def test_what_boxes_tell_comes_to_the_same_in_any_order(rows, rng):
-    def taken(told: list[Suspect]) -> tuple[object, ...]:
+    def taken(told: list[SuspectRequest]) -> tuple[object, ...]:
         fleet = make_fleet()
         for item in told:
             row = take_suspect(fleet, msgspec.structs.replace(item), ms(10))
-        return set(row.ends), row.versions, row.kept_by, row.recorded
+        return set(row.ends), row.versions, row.quarantined_by, row.recorded
 
     mixed = [*rows, *rows]
     rng.shuffle(mixed)
@@ -408,7 +410,7 @@
         await until(lambda: topic.end == 1, "it is recorded")
         await asyncio.sleep(0.6)
         alone = fleet.boxes[1].node
-        alone.fleet.suspects.clear()
+        alone.fleet.suspect_requests.clear()
         for peer in alone.fleet.peers.values():
             peer.heard = Millis(-1)
         alone._exchange.take = lambda _news: None
@@ -420,7 +422,7 @@
 def test_content_that_is_kept_back_again_is_recorded_again():
     fleet = make_fleet()
     content = _kept_in(fleet)
-    row = fleet.suspects[content]
+    row = fleet.suspect_requests[content]
     assert due_records(fleet, ms(4)) == [row] and not due_drops(fleet, ms(4))
     row.recorded = True
     assert not due_records(fleet, ms(4))
@@ -439,10 +441,10 @@
     _end(fleet, "a", "w-1", 0)
     share(fleet, Fingerprint("a"), ms(0.1))
     note_sound(fleet, Fingerprint("a"), ms(1))
-    told_at = fleet.suspects[Fingerprint("a")].changed_at
+    told_at = fleet.suspect_requests[Fingerprint("a")].changed_at
     for second in range(2, 29):
         note_sound(fleet, Fingerprint("a"), ms(second))
-    assert fleet.suspects[Fingerprint("a")].changed_at == told_at
+    assert fleet.suspect_requests[Fingerprint("a")].changed_at == told_at
     assert not told_suspects(fleet, ms(20), None)
 
 
--- a/tests/test_ramping.py
+++ b/tests/test_ramping.py
@@ -35,7 +35,7 @@
 from spanshunt.systems.repeats import note_request
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
-from spanshunt.tables.rollouts import ExposeBounds
+from spanshunt.tables.rollouts import ExposureBounds
 from spanshunt.tables.rollouts import Finding
 from spanshunt.tables.rollouts import Verdict
 
@@ -122,7 +122,7 @@
     in_session, share, slack, rate, low
 ):
     fleet = rolling()
-    fleet.rollouts.bounds = ExposeBounds(share, slack)
+    fleet.rollouts.bounds = ExposureBounds(share, slack)
     row = row_of(fleet)
     raise_extra(fleet, row, low * rate, ms(11))
     requests = rate * DURATION / 1_000
@@ -134,7 +134,7 @@
     """Seen: a version was taken for sound on 14 answers, and then failed many."""
     small, large = rolling(), rolling()
     for fleet, rate in ((small, 13.0), (large, 5_000.0)):
-        fleet.rollouts.bounds = ExposeBounds(0.15, 30.0)
+        fleet.rollouts.bounds = ExposureBounds(0.15, 30.0)
         raise_extra(fleet, row_of(fleet), rate, ms(11))
     answers = [
         13.0 * sum(share_of(fleet, ms(at), in_session) for at in range(22))
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize(("in_session", "after"), [(False, 12.1), (True, 12.5)])
 def test_share_does_not_change_in_the_first_half(in_session, after):
     fleet = rolling()
-    fleet.rollouts.bounds = ExposeBounds(0.15, 30.0)
+    fleet.rollouts.bounds = ExposureBounds(0.15, 30.0)
     before = share_of(fleet, ms(11), in_session)
     raise_extra(fleet, row_of(fleet), 5.0, ms(11))
     assert share_of(fleet, ms(11.9), in_session) == before
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("at", [9.5, 11.1, 11.9])
 def test_rate_counts_only_while_boxes_have_time_to_agree(at):
     fleet = rolling()
-    fleet.rollouts.bounds = ExposeBounds(0.15, 30.0)
+    fleet.rollouts.bounds = ExposureBounds(0.15, 30.0)
     raise_extra(fleet, row_of(fleet), 5.0, ms(at))
     assert row_of(fleet).extra == 0.0
 
--- a/tests/test_resting.py
+++ b/tests/test_resting.py
@@ -116,10 +116,10 @@
 def test_next_life_of_a_worker_does_not_rest():
     fleet = make_fleet()
     row = add_worker(fleet, make_worker("w-1"))
-    row.started_at = Millis(10)
+    row.born = Millis(10)
     note_rest(row, Millis(60_000), ms(1))
     again = make_worker("w-1")
-    again.started_at = Millis(20)
+    again.born = Millis(20)
     take_list(fleet, [ListedWorker(again, False)], Offset(1), ms(2))
     assert rest_left_ms(fleet.workers.rows["w-1"], ms(2)) == 0
 
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -260,7 +260,7 @@
             assert node.core.bounds == RepeatBounds(0.4, 33.0, 12)
             assert node.core.in_force_ms == 2_345
             assert node.fleet.regions == {"north": "far"}
-            assert node.fleet.cold_bounds.over == 2.5
+            assert node.fleet.cold_bounds.rate_factor == 2.5
             assert node.fleet.cold_bounds.slack == 4.0
             assert node.fleet.rollouts.bounds.share == 0.07
             assert node.fleet.rollouts.bounds.slack == 3.0
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -89,7 +89,7 @@
     report(fleet, "box-2", 1.0)
     assert newest_silences(fleet, ms(2))
     assert newest_silences(fleet, ms(1.0 + COUNTS_MS / 1_000)) == ()
-    assert fleet.silences == {}
+    assert fleet.silence_reports == {}
 
 
 @pytest.mark.parametrize(
@@ -124,4 +124,4 @@
     second.take(first.news_for(None))
     third.take(second.news_for(None))
     assert silent_workers(fleets[2], ms(10.2)) == {MUTE}
-    assert fleets[2].silences[MUTE] == {"box-1": ms(10.0), "box-2": ms(10.1)}
+    assert fleets[2].silence_reports[MUTE] == {"box-1": ms(10.0), "box-2": ms(10.1)}
--- a/tests/test_throttling.py
+++ b/tests/test_throttling.py
@@ -178,7 +178,7 @@
     times = []
     for number in range(61):
         fleet = fleet_of(f"box-{number + 1}", 2)
-        fleet.boxes_told = 61
+        fleet.reported_box_count = 61
         row = fleet.workers.rows[WorkerId("w-1")]
         take_limit(fleet, row, word(5.0, 0.0), ms(0))
         times += sends_of(fleet, row, 0.0, 12.0)
@@ -187,7 +187,7 @@
 
 def test_box_that_started_alone_sends_nothing_until_it_may_be_alone():
     fleet, row = limited(at_s=0.0)
-    fleet.alone_until = ms(3)
+    fleet.discovery_until = ms(3)
     assert sends_of(fleet, row, 0.0, 2.9) == []
     assert sends_of(fleet, row, 3.0, 5.0)
 
@@ -244,7 +244,7 @@
     fleet, row = limited(at_s=1.0)
     note_end(fleet, row, ms(2))
     assert not is_limited(row)
-    told = LimitNews(row.name, row.started_at, 1.7, 3_000, BoxId("box-3"))
+    told = LimitNews(row.name, row.born, 1.7, 3_000, BoxId("box-3"))
     take_limit_news(fleet, told_news(fleet, told), ms(4), ms(4))
     assert not is_limited(row)
 
@@ -269,7 +269,7 @@
 def test_told_word_of_another_life_or_an_unknown_worker_tells_nothing():
     fleet = fleet_of("box-1", 2)
     row = fleet.workers.rows[WorkerId("w-1")]
-    row.started_at = Millis(200)
+    row.born = Millis(200)
     for name, born in (("w-1", 100), ("w-9", 200)):
         told = LimitNews(WorkerId(name), born, 1.0, 0, BoxId("box-2"))
         take_limit_news(fleet, told_news(fleet, told), ms(1), ms(1))
@@ -288,7 +288,7 @@
 async def test_callers_are_told_when_to_come_back_while_all_are_limited():
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
-        box.node.fleet.alone_until = ms(0)
+        box.node.fleet.discovery_until = ms(0)
         for worker in fleet.workers.values():
             worker.says["Server-Limit"] = "0.5"
         replies = [await fleet.ask(box, "/look/") for _ in range(12)]
@@ -303,7 +303,7 @@
 async def test_answer_is_not_dropped_for_a_larger_model_that_no_worker_takes():
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
-        box.node.fleet.alone_until = ms(0)
+        box.node.fleet.discovery_until = ms(0)
         for worker in fleet.workers.values():
             worker.sureness = {"small": 1, "middle": 1, "large": 90}
             worker.says["Server-Limit"] = "0.3"
@@ -322,7 +322,7 @@
 async def test_limit_is_logged_when_it_changes_and_when_it_ends(lines):
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
-        box.node.fleet.alone_until = ms(0)
+        box.node.fleet.discovery_until = ms(0)
         for worker in fleet.workers.values():
             worker.says["Server-Limit"] = "500"
         for _ in range(6):
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -136,7 +136,7 @@
 
 def test_box_that_just_started_and_heard_nobody_sends_to_no_cold_worker():
     fleet = cold_fleet(boxes=1)
-    fleet.alone_until = ms(3)
+    fleet.discovery_until = ms(3)
     row = cold_worker(fleet, until_s=9.0)
     assert not may_send_to(fleet, row, ms(1))
     assert may_send_to(fleet, row, ms(3.1))
@@ -149,7 +149,7 @@
     )
     fleets = [cold_fleet(f"box-{n}", boxes=4) for n in range(1, 61)]
     for fleet in fleets:
-        fleet.boxes_told = 60
+        fleet.reported_box_count = 60
     told = sum(may_send_to(fleet, cold_worker(fleet), ms(1)) for fleet in fleets)
     assert everywhere == 60
     assert told < 15
--- a/tests/test_worker_entries.py
+++ b/tests/test_worker_entries.py
@@ -102,7 +102,7 @@
 
 def _life(born: int) -> WorkerRow:
     row = make_worker("w-1")
-    row.started_at = Millis(born)
+    row.born = Millis(born)
     return row
 
 
@@ -118,7 +118,7 @@
     change = take_list(fleet, [ListedWorker(_life(2_000), False)], Offset(2), ms(3))
     row = fleet.workers.rows[WorkerId("w-1")]
     assert change.came == ("w-1",)
-    assert row.inflight == row.reported_inflight == row.failures == 0
+    assert row.inflight == row.reported == row.failures == 0
     assert row.error_rate == 0.0 and row.ejected_until == 0
     assert row.name not in fleet.workers.leaving
     former.inflight -= 1
@@ -132,7 +132,7 @@
     take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(2), ms(2))
     take_list(fleet, [ListedWorker(_life(0), False)], Offset(3), ms(3))
     row = fleet.workers.rows[WorkerId("w-1")]
-    assert row.inflight == 2 and row.started_at == 1_000
+    assert row.inflight == 2 and row.born == 1_000
 
 
 def test_peers_tell_which_life_it_is():
@@ -148,10 +148,10 @@
     take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
     row = fleet.workers.rows[WorkerId("w-1")]
     note_load(row, Load(7, 2, 8), ms(1))
-    row.prompt_cache.parts["large/p1"] = 500
+    row.kept.parts["large/p1"] = 500
     note_end(fleet, row, ms(2))
-    assert row.reported_inflight == row.queued == 0
-    assert not row.prompt_cache.parts
+    assert row.reported == row.queued == 0
+    assert not row.kept.parts
 
 
 def _ended(fleet: Fleet, *rows: WorkerRow, end: int = 2) -> list[str]:
