--- a/bench/choice.py
+++ b/bench/choice.py
@@ -27,7 +27,7 @@
 from spanshunt.tables.evidence import Cell
 from spanshunt.tables.evidence import Counts
 from spanshunt.tables.evidence import Evidence
-from spanshunt.tables.preferences import Memory
+from spanshunt.tables.preferences import PreferenceCache
 
 from .workloads import WORKLOADS
 from .workloads import Arrival
@@ -107,7 +107,7 @@
     """Return the router's own choice."""
     config: Config = config_of(work)
     evidence = Evidence()
-    memory: Preferences = Memory()
+    memory: Preferences = PreferenceCache()
     expired = 0.0
 
     def decide(a: Arrival, key: str) -> Decision:
--- a/bench/play_engines.py
+++ b/bench/play_engines.py
@@ -15,9 +15,9 @@
 from result import Result
 
 from spanshunt.ports import Answer
-from spanshunt.ports import CutAnswerError
 from spanshunt.ports import Dispatch
 from spanshunt.ports import SendFault
+from spanshunt.ports import TruncatedAnswerError
 from spanshunt.systems.worker_health import Load
 from spanshunt.tables.notices import Notice
 
@@ -240,7 +240,7 @@
         if self._begun:
             await self._engine._work(self._engine.event_ms(self._model), self._slow_x)
         if self._engine.gone:
-            raise CutAnswerError("the worker ended")
+            raise TruncatedAnswerError("the worker ended")
         self._begun = True
         number = self._next
         self._next += 1
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -22,7 +22,7 @@
 from spanshunt.ids import RolloutId
 from spanshunt.ids import VersionId
 from spanshunt.records import LogRecord
-from spanshunt.records import Verdict
+from spanshunt.records import StepVerdict
 from spanshunt.records import encode_record
 from spanshunt.systems.fold import fold_record
 from spanshunt.systems.guarding import judge
@@ -184,7 +184,7 @@
         step = judge(self.config, row, self.evidence, BoxId("b"), _wall(at))
         if step is None:
             return
-        if step.verdict is Verdict.PULL_BACK:
+        if step.verdict is StepVerdict.PULL_BACK:
             self.result.pulled_back = at
         record = LogRecord(self.config.next_offset, _wall(at), encode_record(step))
         fold_record(self.config, record)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -150,7 +150,7 @@
 
 def _round(one: State, other: State, now: int, rng: random.Random) -> int:
     at = Millis(now)
-    one.beat += 1
+    one.heartbeat += 1
     told = tell(one, other.me.incarnation, at, rng)
     raw = msgspec.msgpack.encode(told)
     got = answer(other, msgspec.msgpack.decode(raw, type=Exchange), at, at, rng)
@@ -201,7 +201,7 @@
 ) -> float:
     """Return rounds until a record that one box has is folded on all of them."""
     fold_next(boxes[0], a_confirm(0))
-    record = boxes[0].tail[-1] if boxes[0].tail else None
+    record = boxes[0].recent_records[-1] if boxes[0].recent_records else None
     assert record is not None
     rounds = 0
     while any(box.config.next_offset == 0 for box in boxes):
@@ -226,7 +226,7 @@
     """Fold a record as the next of the log."""
     made = LogRecord(state.config.next_offset, Millis(0), encode_record(record))
     fold_record(state.config, made)
-    state.tail.append(made)
+    state.recent_records.append(made)
 
 
 def main() -> None:
--- a/bench/world.py
+++ b/bench/world.py
@@ -57,7 +57,7 @@
 from spanshunt.systems.planner import make_plan
 from spanshunt.tables.claims import CallState
 from spanshunt.tables.claims import OwnCall
-from spanshunt.tables.preferences import Memory
+from spanshunt.tables.preferences import PreferenceCache
 
 from .world_boxes import BASE_INTENTS
 from .world_boxes import Accepted
@@ -178,7 +178,7 @@
         if one == other or not self._reaches(one, other):
             return
         asker, asked = self.boxes[one].state, self.boxes[other].state
-        asker.beat += 1
+        asker.heartbeat += 1
         now = Millis(self.now)
         told: Exchange = tell(asker, asked.me.incarnation, now, self.rng)
         told = over_the_wire(told, Exchange)
@@ -208,7 +208,7 @@
         if ORG not in state.config.orgs:
             return
         asked = Asked(SERVICE, t.cast("t.Any", "default"), ORG, draw_key="x")
-        memory: t.Any = Memory()
+        memory: t.Any = PreferenceCache()
         choice = choose(
             state.config,
             state.evidence.pool,
--- a/src/spanshunt/appender.py
+++ b/src/spanshunt/appender.py
@@ -19,9 +19,9 @@
 from .ids import Offset
 from .logs import log_event
 from .parts import Parts
-from .peers.messages import Gather
-from .peers.messages import Gathered
-from .peers.messages import GatherState
+from .peers.messages import AppendPartReply
+from .peers.messages import AppendPartRequest
+from .peers.messages import AppendPartState
 from .records import Bills
 from .records import Claims
 from .records import Record
@@ -43,7 +43,7 @@
 
 class _Waiting(msgspec.Struct):
     record: Bills | Claims
-    fut: asyncio.Future[Gathered]
+    fut: asyncio.Future[AppendPartReply]
 
 
 class Appender:
@@ -82,7 +82,7 @@
         address = self._gatherer()
         if address is None:
             return _as_result(await self._join(stream, record))
-        part = Gather(stream, encode_record(record))
+        part = AppendPartRequest(stream, encode_record(record))
         timeout = self._parts.settings.platform.timeout_ms / 1000 + self.window(stream)
         match await self._parts.peers.gather(address, part, timeout):
             case Ok(gathered):
@@ -90,13 +90,13 @@
             case Err(fault):
                 return Err(PlatformFault(Fault.UNKNOWN, fault.detail))
 
-    async def gather(self, part: Gather) -> Gathered:
+    async def gather(self, part: AppendPartRequest) -> AppendPartReply:
         """Take in another box's part of a batch."""
         match decode_record(part.record):
             case Ok(record) if isinstance(record, Bills | Claims):
                 return await self._join(part.stream, record)
             case _:
-                return Gathered(GatherState.NOT_DONE)
+                return AppendPartReply(AppendPartState.NOT_DONE)
 
     def window(self, stream: Stream) -> float:
         """Return how long a batch of `stream` is gathered, in seconds."""
@@ -121,8 +121,10 @@
         first = rendezvous(f"gatherer/{state.me.domain}", names, 1)[0]
         return None if first == state.me.box else near[type(state.me.box)(first)]
 
-    async def _join(self, stream: Stream, record: Bills | Claims) -> Gathered:
-        fut: asyncio.Future[Gathered] = asyncio.get_running_loop().create_future()
+    async def _join(self, stream: Stream, record: Bills | Claims) -> AppendPartReply:
+        fut: asyncio.Future[AppendPartReply] = (
+            asyncio.get_running_loop().create_future()
+        )
         self._waiting[stream].append(_Waiting(record, fut))
         if stream not in self._flushes:
             self._flushes[stream] = asyncio.create_task(self._flush_soon(stream))
@@ -137,7 +139,7 @@
             self._flushes[stream] = asyncio.create_task(self._flush_soon(stream))
         merged = _merge([part.record for part in parts])
         gathered = _as_gathered(await self.append_now(stream, merged))
-        if gathered.state is not GatherState.APPENDED:
+        if gathered.state is not AppendPartState.APPENDED:
             log_event("WARNING", "append failed", stream=stream.value)
         for part in parts:
             if not part.fut.done():
@@ -155,18 +157,20 @@
     )
 
 
-def _as_gathered(outcome: Result[Offset, PlatformFault]) -> Gathered:
+def _as_gathered(outcome: Result[Offset, PlatformFault]) -> AppendPartReply:
     match outcome:
         case Ok(offset):
-            return Gathered(GatherState.APPENDED, offset)
+            return AppendPartReply(AppendPartState.APPENDED, offset)
         case Err(fault):
             certain = fault.fault is Fault.NOT_DONE
-            return Gathered(GatherState.NOT_DONE if certain else GatherState.UNKNOWN)
+            return AppendPartReply(
+                AppendPartState.NOT_DONE if certain else AppendPartState.UNKNOWN
+            )
 
 
-def _as_result(gathered: Gathered) -> Result[Offset, PlatformFault]:
-    if gathered.state is GatherState.APPENDED:
+def _as_result(gathered: AppendPartReply) -> Result[Offset, PlatformFault]:
+    if gathered.state is AppendPartState.APPENDED:
         return Ok(gathered.offset)
-    certain = gathered.state is GatherState.NOT_DONE
+    certain = gathered.state is AppendPartState.NOT_DONE
     fault = Fault.NOT_DONE if certain else Fault.UNKNOWN
     return Err(PlatformFault(fault, "gathered append gave no offset"))
--- a/src/spanshunt/attempt_outcomes.py
+++ b/src/spanshunt/attempt_outcomes.py
@@ -9,9 +9,9 @@
 from .ids import VersionId
 from .logs import log_event
 from .ports import BrokenAnswerError
-from .ports import CutAnswerError
 from .ports import SendFault
 from .ports import SilentWorkerError
+from .ports import TruncatedAnswerError
 from .systems.estimating import note_first_event
 from .systems.estimating import speed_of
 from .systems.outages import note_domain_unreached
@@ -228,7 +228,7 @@
     """Take in an answer that can't be passed on as a success."""
     now = core.clock.now()
     silent = isinstance(exc, SilentWorkerError)
-    attempt.broke = isinstance(exc, CutAnswerError)
+    attempt.broke = isinstance(exc, TruncatedAnswerError)
     state.failed_versions |= attempt.worker.versions
     note_answer(attempt.worker, 0.0, good=False, now=now)
     if silent:
--- a/src/spanshunt/bill_keeper.py
+++ b/src/spanshunt/bill_keeper.py
@@ -16,7 +16,7 @@
 from .ids import ServiceId
 from .logs import log_event
 from .parts import Parts
-from .peers.messages import CopyBills
+from .peers.messages import CopyBillsRequest
 from .records import BillEntry
 from .records import Bills
 from .records import Stream
@@ -201,7 +201,7 @@
         if not targets:
             return False
         journal = self._state.journal
-        message = CopyBills(journal.incarnation, entries, first_open(journal))
+        message = CopyBillsRequest(journal.incarnation, entries, first_open(journal))
         answers = await asyncio.gather(
             *(
                 self._parts.peers.copy_bills(row.address, message, _COPY_TIMEOUT)
@@ -232,7 +232,7 @@
             for incarnation, address in self._holders.items()
             if incarnation in live
         }
-        message = CopyBills(journal.incarnation, (), first_open(journal))
+        message = CopyBillsRequest(journal.incarnation, (), first_open(journal))
         await asyncio.gather(
             *(
                 self._parts.peers.copy_bills(address, message, _COPY_TIMEOUT)
--- a/src/spanshunt/catalog_calls.py
+++ b/src/spanshunt/catalog_calls.py
@@ -119,7 +119,7 @@
         limit=Millis(min(call.deadline, call.began + route.timeout_ms)),
         repeatable=route.repeatable,
         resumable=route.resumable,
-        most_attempts=route.most_attempts,
+        max_attempts=route.max_attempts,
         call=call,
         admitted=admitted,
         last_event=call.resume_after,
@@ -181,10 +181,10 @@
 def _urgency(state: CatalogRequest, attempt: CatalogAttempt) -> int:
     """Return how urgent a request is at its worker; what goes on goes first."""
     if attempt.effort is None:
-        return state.admitted.rank
+        return state.admitted.priority
     if state.last_event is not None:
         return 0
-    return urgency_of(attempt.expected, state.admitted.route.aim_ms)
+    return urgency_of(attempt.expected, state.admitted.route.target_latency_ms)
 
 
 def _note_prompt(core: Core, state: CatalogRequest, attempt: CatalogAttempt) -> None:
@@ -213,7 +213,7 @@
         urgency=_urgency(state, attempt),
         left_ms=state.limit - core.clock.now(),
         resume_after=state.last_event,
-        fresh=state.broken or not state.repeatable,
+        new_connection=state.broken or not state.repeatable,
     )
     worker.prefill_ms += reading_ms
     sending = asyncio.ensure_future(core.send(dispatch))
@@ -249,7 +249,7 @@
     if not sending.done() and is_alive(attempt.worker, core.clock.now()):
         longer = limit * ALIVE_FACTOR
         await asyncio.wait({sending}, timeout=(longer - limit) / 1_000)
-    if not state.repeatable or state.runs >= state.most_attempts:
+    if not state.repeatable or state.runs >= state.max_attempts:
         if not sending.done() and not state.repeatable:
             note_silent(core, state, attempt)
         await asyncio.wait({sending})
--- a/src/spanshunt/claimer.py
+++ b/src/spanshunt/claimer.py
@@ -17,8 +17,8 @@
 from .ids import RequestId
 from .ids import ServiceId
 from .peers.client import PeerClient
-from .peers.messages import AskCall
-from .peers.messages import CallStatus
+from .peers.messages import CallStatusReply
+from .peers.messages import CallStatusRequest
 from .records import Claim
 from .records import Claims
 from .records import Release
@@ -134,12 +134,12 @@
         if releases:
             await self._appender.append_merged(Stream.CLAIMS, Claims((), releases))
 
-    def status(self, ask: AskCall) -> CallStatus:
+    def status(self, ask: CallStatusRequest) -> CallStatusReply:
         """Answer a peer's question about a call claimed here."""
         own = self._state.claims.own.get(ask.request)
         if ask.holder != self._state.me.incarnation or own is None:
-            return CallStatus()
-        return CallStatus(own.state, own.answer)
+            return CallStatusReply()
+        return CallStatusReply(own.state, own.answer)
 
     async def _read_back(
         self, digest: str, request: RequestId
@@ -179,15 +179,15 @@
                 detail = "a call with this key was begun by a box that is gone"
                 return Err(_taken(detail, Run.UNKNOWN))
 
-    async def _ask(self, request: RequestId, holder: Incarnation) -> CallStatus:
-        ask = AskCall(request, holder)
+    async def _ask(self, request: RequestId, holder: Incarnation) -> CallStatusReply:
+        ask = CallStatusRequest(request, holder)
         if holder == self._state.me.incarnation:
             return self.status(ask)
         for row in self._state.members.rows.values():
             if row.incarnation == holder:
                 answer = await self._peers.ask_call(row.address, ask, _ASK_TIMEOUT)
-                return answer.unwrap_or(CallStatus())
-        return CallStatus()
+                return answer.unwrap_or(CallStatusReply())
+        return CallStatusReply()
 
 
 def _not_claimed(detail: str) -> Refusal:
--- a/src/spanshunt/duties.py
+++ b/src/spanshunt/duties.py
@@ -15,8 +15,8 @@
 from .logs import log_event
 from .parts import Parts
 from .records import RolloutStep
+from .records import StepVerdict
 from .records import Stream
-from .records import Verdict
 from .systems.fold import snapshot_of
 from .systems.following import snapshot_due
 from .systems.freshness import is_fresh
@@ -66,7 +66,7 @@
             state.me.box,
             self._clock.wall(),
         ):
-            if step.verdict is Verdict.PULL_BACK:
+            if step.verdict is StepVerdict.PULL_BACK:
                 self._suspend(step)
             duty = f"rollout/{step.rollout}/{step.from_stage}/{step.verdict.value}"
             due.add(duty)
@@ -86,7 +86,7 @@
         snapshot = snapshot_of(self._state.config)
         match await self._appender.append_now(Stream.CONFIG, snapshot):
             case Ok(offset):
-                self._state.snapshot_at = snapshot.config.next_offset
+                self._state.snapshot_offset = snapshot.config.next_offset
                 log_event("INFO", "snapshot on the log", offset=offset)
             case Err(fault):
                 log_event("WARNING", "snapshot not appended", fault=fault.detail)
--- a/src/spanshunt/forwarding.py
+++ b/src/spanshunt/forwarding.py
@@ -144,7 +144,7 @@
         return False
     if state.runs and not state.repeatable:
         return False
-    return state.runs < state.most_attempts
+    return state.runs < state.max_attempts
 
 
 async def _attempts(
--- a/src/spanshunt/gossiper.py
+++ b/src/spanshunt/gossiper.py
@@ -13,14 +13,14 @@
 from .ids import DomainId
 from .ids import Incarnation
 from .parts import Parts
-from .peers.messages import AskCall
-from .peers.messages import CallStatus
-from .peers.messages import Copied
-from .peers.messages import CopyBills
+from .peers.messages import AppendPartReply
+from .peers.messages import AppendPartRequest
+from .peers.messages import CallStatusReply
+from .peers.messages import CallStatusRequest
+from .peers.messages import CopyBillsReply
+from .peers.messages import CopyBillsRequest
 from .peers.messages import Exchange
 from .peers.messages import ExchangeAnswer
-from .peers.messages import Gather
-from .peers.messages import Gathered
 from .peers.messages import MemberDigest
 from .peers.messages import Pin
 from .systems.gossip import answer
@@ -65,7 +65,7 @@
 
     async def round(self) -> None:
         """Exchange with one peer, or with a seed while no peer is known."""
-        self._state.beat += 1
+        self._state.heartbeat += 1
         forget_silent(self._state, self._clock.now())
         now = self._clock.now()
         row = pick_peer(
@@ -113,16 +113,16 @@
             self._pull(told.sender)
         return reply
 
-    async def copy_bills(self, copy: CopyBills) -> Copied:
+    async def copy_bills(self, copy: CopyBillsRequest) -> CopyBillsReply:
         """Hold copies, if there is room."""
         journal = self._state.journal
         room = self._parts.settings.journal.max_entries - journal.size
         if len(copy.entries) > room:
-            return Copied(held=False)
+            return CopyBillsReply(held=False)
         take_copies(journal, copy.owner, copy.entries, copy.settled, self._clock.now())
-        return Copied(held=True)
+        return CopyBillsReply(held=True)
 
-    async def ask_call(self, ask: AskCall) -> CallStatus:
+    async def ask_call(self, ask: CallStatusRequest) -> CallStatusReply:
         """Say how far a call got that was claimed here."""
         return self._claimer.status(ask)
 
@@ -136,7 +136,7 @@
         self._state.pins.put(pin.key, pin.version, self._clock.now())
         return pin
 
-    async def gather(self, part: Gather) -> Gathered:
+    async def gather(self, part: AppendPartRequest) -> AppendPartReply:
         """Append a part of a batch."""
         return await self._appender.gather(part)
 
@@ -157,7 +157,7 @@
                     self._follower.note_grown()
                 return True
             case Err(_):
-                self._state.sent_to.pop(incarnation, None)
+                self._state.evidence_sent.pop(incarnation, None)
                 return False
 
     def _pull(self, sender: MemberDigest) -> None:
--- a/src/spanshunt/http_sends.py
+++ b/src/spanshunt/http_sends.py
@@ -13,8 +13,8 @@
 
 from .ports import Answer
 from .ports import BrokenAnswerError
-from .ports import CutAnswerError
 from .ports import SendFault
+from .ports import TruncatedAnswerError
 from .systems.worker_health import Load
 from .tables.notices import Notice
 
@@ -120,7 +120,7 @@
         try:
             return await self._resp.content.readany()
         except (aiohttp.ClientError, OSError) as exc:
-            raise CutAnswerError(f"body: {type(exc).__name__}") from exc
+            raise TruncatedAnswerError(f"body: {type(exc).__name__}") from exc
 
     def close(self) -> None:
         """Let go of it; one that is not read to its end is cut off at the worker."""
--- a/src/spanshunt/model_calls.py
+++ b/src/spanshunt/model_calls.py
@@ -86,7 +86,7 @@
         began=call.began,
         limit=call.deadline,
         repeatable=True,
-        most_attempts=MOST_ATTEMPTS,
+        max_attempts=MOST_ATTEMPTS,
         call=call,
     )
     await forward(steps, state, reply)
--- a/src/spanshunt/peers/client.py
+++ b/src/spanshunt/peers/client.py
@@ -2,14 +2,14 @@
 
 from result import Result
 
-from .messages import AskCall
-from .messages import CallStatus
-from .messages import Copied
-from .messages import CopyBills
+from .messages import AppendPartReply
+from .messages import AppendPartRequest
+from .messages import CallStatusReply
+from .messages import CallStatusRequest
+from .messages import CopyBillsReply
+from .messages import CopyBillsRequest
 from .messages import Exchange
 from .messages import ExchangeAnswer
-from .messages import Gather
-from .messages import Gathered
 from .messages import Pin
 from .unary import Channels
 from .unary import PeerFault
@@ -32,19 +32,29 @@
         )
 
     async def copy_bills(
-        self, address: str, copy: CopyBills, timeout: float
-    ) -> Result[Copied, PeerFault]:
+        self, address: str, copy: CopyBillsRequest, timeout: float
+    ) -> Result[CopyBillsReply, PeerFault]:
         """Ask a peer to hold copies of bills."""
         return await self._channels.call(
-            address, PREFIX + "CopyBills", CopyBills, Copied, copy, timeout
+            address,
+            PREFIX + "CopyBills",
+            CopyBillsRequest,
+            CopyBillsReply,
+            copy,
+            timeout,
         )
 
     async def ask_call(
-        self, address: str, ask: AskCall, timeout: float
-    ) -> Result[CallStatus, PeerFault]:
+        self, address: str, ask: CallStatusRequest, timeout: float
+    ) -> Result[CallStatusReply, PeerFault]:
         """Ask the holder of a claim how far its call got."""
         return await self._channels.call(
-            address, PREFIX + "AskCall", AskCall, CallStatus, ask, timeout
+            address,
+            PREFIX + "AskCall",
+            CallStatusRequest,
+            CallStatusReply,
+            ask,
+            timeout,
         )
 
     async def get_pin(
@@ -64,11 +74,16 @@
         )
 
     async def gather(
-        self, address: str, part: Gather, timeout: float
-    ) -> Result[Gathered, PeerFault]:
+        self, address: str, part: AppendPartRequest, timeout: float
+    ) -> Result[AppendPartReply, PeerFault]:
         """Ask the gatherer of the failure domain to append a part of a batch."""
         return await self._channels.call(
-            address, PREFIX + "Gather", Gather, Gathered, part, timeout
+            address,
+            PREFIX + "Gather",
+            AppendPartRequest,
+            AppendPartReply,
+            part,
+            timeout,
         )
 
     def stop(self) -> None:
--- a/src/spanshunt/peers/messages.py
+++ b/src/spanshunt/peers/messages.py
@@ -32,7 +32,7 @@
 
     Attributes
     ----------
-    box, domain, address, incarnation, beat, offset, stopping
+    box, domain, address, incarnation, heartbeat, offset, stopping
         As in :class:`~spanshunt.tables.members.MemberRow`.
     witness_age : int
         Time since the start of the last exchange that the box answered as a witness, in
@@ -43,7 +43,7 @@
     domain: DomainId
     address: str
     incarnation: Incarnation
-    beat: int
+    heartbeat: int
     offset: Offset
     stopping: bool
     witness_age: Millis
@@ -122,7 +122,7 @@
     snapshot: Snapshot | None = None
 
 
-class CopyBills(msgspec.Struct, frozen=True):
+class CopyBillsRequest(msgspec.Struct, frozen=True):
     """Request to hold copies of the sender's bills.
 
     Attributes
@@ -140,21 +140,21 @@
     settled: int
 
 
-class Copied(msgspec.Struct, frozen=True):
-    """Answer to :class:`CopyBills`: whether the copies are held."""
+class CopyBillsReply(msgspec.Struct, frozen=True):
+    """Answer to :class:`CopyBillsRequest`: whether the copies are held."""
 
     held: bool
 
 
-class AskCall(msgspec.Struct, frozen=True):
+class CallStatusRequest(msgspec.Struct, frozen=True):
     """Request for the state of a keyed call, sent to the holder of its claim."""
 
     request: RequestId
     holder: Incarnation
 
 
-class CallStatus(msgspec.Struct, frozen=True):
-    """Answer to :class:`AskCall`; without a state if the holder has restarted."""
+class CallStatusReply(msgspec.Struct, frozen=True):
+    """Answer to :class:`CallStatusRequest`; no state if the holder restarted."""
 
     state: CallState | None = None
     answer: CallAnswer | None = None
@@ -175,14 +175,14 @@
     version: VersionId = VersionId("")
 
 
-class Gather(msgspec.Struct, frozen=True):
+class AppendPartRequest(msgspec.Struct, frozen=True):
     """Request to append one record of a stream as part of a batch with other boxes'."""
 
     stream: Stream
     record: bytes
 
 
-class GatherState(enum.Enum):
+class AppendPartState(enum.Enum):
     """Result of appending a part of a batch."""
 
     APPENDED = "appended"
@@ -190,8 +190,8 @@
     UNKNOWN = "unknown"
 
 
-class Gathered(msgspec.Struct, frozen=True):
-    """Answer to :class:`Gather`; `offset` is that of the record with the part."""
+class AppendPartReply(msgspec.Struct, frozen=True):
+    """Answer to :class:`AppendPartRequest`, with the offset of the appended record."""
 
-    state: GatherState
+    state: AppendPartState
     offset: Offset = Offset(-1)
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -206,7 +206,7 @@
     near = group.domain == me.domain
     if near != bool(group.box) or group.box == me.incarnation:
         return
-    row.change_count += 1
+    row.changes += 1
     into = (
         row.same_domain.setdefault(group.box, Tallies())
         if near
@@ -244,7 +244,7 @@
 def reads_news(fleet: Fleet, now: Millis) -> tuple[ReadNews, ...]:
     """Return the prompts that this box sent to engines of late."""
     return tuple(
-        ReadNews(read.worker, read.model, read.shared)
+        ReadNews(read.worker, read.model, read.shared_parts)
         for read in newest_reads(fleet, now)
     )
 
--- a/src/spanshunt/peers/service.py
+++ b/src/spanshunt/peers/service.py
@@ -5,14 +5,14 @@
 from grpclib.const import Handler
 
 from .client import PREFIX
-from .messages import AskCall
-from .messages import CallStatus
-from .messages import Copied
-from .messages import CopyBills
+from .messages import AppendPartReply
+from .messages import AppendPartRequest
+from .messages import CallStatusReply
+from .messages import CallStatusRequest
+from .messages import CopyBillsReply
+from .messages import CopyBillsRequest
 from .messages import Exchange
 from .messages import ExchangeAnswer
-from .messages import Gather
-from .messages import Gathered
 from .messages import Pin
 from .unary import unary_handler
 
@@ -26,10 +26,10 @@
     async def exchange(self, told: Exchange) -> ExchangeAnswer:
         """Exchange news."""
 
-    async def copy_bills(self, copy: CopyBills) -> Copied:
+    async def copy_bills(self, copy: CopyBillsRequest) -> CopyBillsReply:
         """Hold copies of bills."""
 
-    async def ask_call(self, ask: AskCall) -> CallStatus:
+    async def ask_call(self, ask: CallStatusRequest) -> CallStatusReply:
         """Say how far a claimed call got."""
 
     async def get_pin(self, pin: Pin) -> Pin:
@@ -38,7 +38,7 @@
     async def put_pin(self, pin: Pin) -> Pin:
         """Keep a session's version."""
 
-    async def gather(self, part: Gather) -> Gathered:
+    async def gather(self, part: AppendPartRequest) -> AppendPartReply:
         """Append a part of a batch."""
 
 
@@ -64,11 +64,17 @@
         does = self._handlers
         return {
             PREFIX + "Exchange": self._unary(does.exchange, Exchange, ExchangeAnswer),
-            PREFIX + "CopyBills": self._unary(does.copy_bills, CopyBills, Copied),
-            PREFIX + "AskCall": self._unary(does.ask_call, AskCall, CallStatus),
+            PREFIX + "CopyBills": self._unary(
+                does.copy_bills, CopyBillsRequest, CopyBillsReply
+            ),
+            PREFIX + "AskCall": self._unary(
+                does.ask_call, CallStatusRequest, CallStatusReply
+            ),
             PREFIX + "GetPin": self._unary(does.get_pin, Pin, Pin),
             PREFIX + "PutPin": self._unary(does.put_pin, Pin, Pin),
-            PREFIX + "Gather": self._unary(does.gather, Gather, Gathered),
+            PREFIX + "Gather": self._unary(
+                does.gather, AppendPartRequest, AppendPartReply
+            ),
         }
 
     def _unary(
--- a/src/spanshunt/plain_calls.py
+++ b/src/spanshunt/plain_calls.py
@@ -143,7 +143,7 @@
         began=call.began,
         limit=call.deadline,
         repeatable=call.repeatable,
-        most_attempts=MOST_ATTEMPTS,
+        max_attempts=MOST_ATTEMPTS,
         call=call,
     )
     if call.key and not call.repeatable:
--- a/src/spanshunt/planning.py
+++ b/src/spanshunt/planning.py
@@ -86,7 +86,9 @@
 
 def retry_after(core: Core, route: RouteRow) -> Millis:
     """Return when to come back, in ms, spread so that callers don't return at once."""
-    middle = min(RETRY_MOST_MS, max(RETRY_LEAST_MS, RETRY_AIM_PART * route.aim_ms))
+    middle = min(
+        RETRY_MOST_MS, max(RETRY_LEAST_MS, RETRY_AIM_PART * route.target_latency_ms)
+    )
     return Millis(int(middle * (0.5 + core.rng.random())))
 
 
@@ -192,7 +194,7 @@
     named = model or call.model
     if not named or not call.tokens.read:
         return None
-    return Effort(service, named, call.tokens.read, call.shared)
+    return Effort(service, named, call.tokens.read, call.shared_parts)
 
 
 def _wanted(
@@ -211,7 +213,7 @@
         rule=rule,
         domain=fleet.me.domain,
         effort=_effort(state, service, model),
-        aim_ms=route.aim_ms,
+        target_latency_ms=route.target_latency_ms,
         avoid=state.tried,
         again=route.repeatable,
         silent=silent_workers(fleet, core.clock.now()),
@@ -225,16 +227,16 @@
     """Tell whether a request may take a limited worker's grant as soon as it opens.
 
     Where grants are short the more urgent are served more often, and none is starved:
-    of a rank below the most urgent one of the service every second request may, of the
-    next every third. A larger model's answer is never worth a grant that another
-    caller could use.
+    of the priority next to the most urgent one of the service every second request may,
+    of the one after it every third. A larger model's answer is never worth a grant that
+    another caller could use.
     """
     fleet, catalog = core.fleet, core.fleet.catalog
     if catalog is None or not has_limits(fleet, state.service):
         return True
     if state.raised:
         return False
-    below = state.admitted.rank - catalog.most_urgent.get(state.service, 0)
+    below = state.admitted.priority - catalog.highest_priority.get(state.service, 0)
     return unit_hash("grant", state.request) * (1 + max(0, below)) < 1
 
 
--- a/src/spanshunt/platform/front.py
+++ b/src/spanshunt/platform/front.py
@@ -190,7 +190,7 @@
             deadline=began + deadline,
             session=headers.get(wire.SESSION, ""),
             tokens=tokens,
-            shared=_shared(headers.get(wire.PROMPT_PARTS, ""), tokens.read),
+            shared_parts=_shared(headers.get(wire.PROMPT_PARTS, ""), tokens.read),
             model=ModelId("" if model == wire.ANY_MODEL else model),
             resume_after=wire.whole_number(headers.get(wire.LAST_EVENT, "")),
         )
--- a/src/spanshunt/platform/wire.py
+++ b/src/spanshunt/platform/wire.py
@@ -31,8 +31,8 @@
 from ..tables.catalog import RequestKind
 from ..tables.catalog import RouteRow
 from ..tables.catalog import ServiceRow
-from ..tables.catalog import Share
-from ..tables.catalog import index
+from ..tables.catalog import TrafficShare
+from ..tables.catalog import index_catalog
 from ..tables.rollouts import Finding
 from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import Verdict
@@ -398,7 +398,7 @@
     config = decoded.ok_value
     limits = config.limits
     return Ok(
-        index(
+        index_catalog(
             Catalog(
                 version=config.version,
                 routes=tuple(_route(row) for row in config.routes),
@@ -488,14 +488,16 @@
         host=row.hostname.lower(),
         prefix=row.path_prefix,
         kind=_KINDS.get(row.route_type, RequestKind.ONCE),
-        shares=tuple(Share(ServiceId(part.backend), part.weight) for part in split),
+        shares=tuple(
+            TrafficShare(ServiceId(part.backend), part.weight) for part in split
+        ),
         timeout_ms=Millis(row.timeout_ms),
-        aim_ms=Millis(row.target_latency_ms),
+        target_latency_ms=Millis(row.target_latency_ms),
         models=tuple(ModelId(name) for name in row.sizes),
         resumable=row.stream_resume,
-        most_attempts=max(1, row.max_attempts),
-        gap_aim_ms=Millis(row.gap_aim_ms),
-        rank=row.priority,
+        max_attempts=max(1, row.max_attempts),
+        target_gap_ms=Millis(row.gap_aim_ms),
+        priority=row.priority,
         anonymous=row.anonymous,
         regions=_regions(row.allowed_regions),
     )
@@ -515,7 +517,7 @@
     return ServiceRow(
         name=ServiceId(row.name),
         costs={ModelId(model.name): model.cost for model in engine.models},
-        memory_tokens=engine.kv_capacity_tokens,
-        cold_ms=Millis(int(row.cold_start_s * 1_000)),
+        kv_capacity_tokens=engine.kv_capacity_tokens,
+        cold_start_ms=Millis(int(row.cold_start_s * 1_000)),
         cold_per_s=row.cold_per_s,
     )
--- a/src/spanshunt/platform/workers.py
+++ b/src/spanshunt/platform/workers.py
@@ -105,7 +105,7 @@
     async def send(self, dispatch: Dispatch) -> Result[Answer, SendFault]:
         """Send a request and return the head of its answer."""
         call, worker = dispatch.call, dispatch.worker
-        alone = dispatch.fresh or len(call.body) > ONCE_BYTES
+        alone = dispatch.new_connection or len(call.body) > ONCE_BYTES
         session = self._fresh if alone else self._kept
         assert session is not None
         url = URL(f"http://{worker.address}{call.target}", encoded=True)
--- a/src/spanshunt/ports.py
+++ b/src/spanshunt/ports.py
@@ -28,7 +28,7 @@
     """
 
 
-class CutAnswerError(BrokenAnswerError):
+class TruncatedAnswerError(BrokenAnswerError):
     """The connection ended before the answer was complete."""
 
 
@@ -59,7 +59,7 @@
         The caller's session; empty for none.
     tokens : RequestTokens
         Size of the request in tokens; 0 for plain requests.
-    shared : tuple of PromptPart
+    shared_parts : tuple of PromptPart
         Parts of the prompt that other requests share, in order.
     model : str
         The model that the caller names; empty to let the system choose.
@@ -79,7 +79,7 @@
     deadline: int
     session: str = ""
     tokens: RequestTokens = RequestTokens(0, 0)
-    shared: tuple[PromptPart, ...] = ()
+    shared_parts: tuple[PromptPart, ...] = ()
     model: ModelId = ModelId("")
     resume_after: int | None = None
 
@@ -103,7 +103,7 @@
         Time left for the worker to answer, in ms.
     resume_after : int or None
         Id of the last event that the caller received.
-    fresh : bool
+    new_connection : bool
         Whether a new connection must be used for the call.
     """
 
@@ -114,7 +114,7 @@
     urgency: int
     left_ms: int
     resume_after: int | None
-    fresh: bool
+    new_connection: bool
 
 
 class SendFault(msgspec.Struct, frozen=True):
--- a/src/spanshunt/records.py
+++ b/src/spanshunt/records.py
@@ -36,7 +36,7 @@
     CLAIMS = "claims"
 
 
-class Verdict(enum.Enum):
+class StepVerdict(enum.Enum):
     """The decision of a roll-out step."""
 
     ADVANCE = "advance"
@@ -62,7 +62,7 @@
 
     rollout: RolloutId
     from_stage: int
-    verdict: Verdict
+    verdict: StepVerdict
     reason: str
     box: BoxId
     at: Millis
--- a/src/spanshunt/relaying.py
+++ b/src/spanshunt/relaying.py
@@ -10,9 +10,9 @@
 from .logs import log_event
 from .planning import larger_prospect
 from .ports import Answer
-from .ports import CutAnswerError
 from .ports import Reply
 from .ports import SilentWorkerError
+from .ports import TruncatedAnswerError
 from .repeating import budget_allows
 from .repeating import may_go_on
 from .systems.cascading import likely_good
@@ -43,7 +43,7 @@
     route = state.admitted.route
     catalog = core.fleet.catalog
     service = catalog.services.get(attempt.service) if catalog else None
-    if service is None or state.runs + _kept(state) >= route.most_attempts:
+    if service is None or state.runs + _kept(state) >= route.max_attempts:
         return False
     prospect = larger_prospect(core, state, service)
     needed = sureness_needed(core.fleet, route, service, call.tokens, prospect)
@@ -107,7 +107,7 @@
             state.last_event = events.last_id
     if splitter.rest:
         detail = f"ends inside an event, {len(splitter.rest)} bytes in"
-        raise CutAnswerError(detail)
+        raise TruncatedAnswerError(detail)
     if not reply.begun:
         await reply.begin(found.status, found.headers)
     await reply.end()
@@ -118,7 +118,7 @@
 ) -> bytes:
     """Return the next bytes; silence is a break if the stream can go on elsewhere."""
     route, worker = state.admitted.route, attempt.worker
-    if not route.resumable or state.runs >= route.most_attempts:
+    if not route.resumable or state.runs >= route.max_attempts:
         return await found.next_block()
     limit_ms = gap_limit_ms(route)
     silent_ms = 0.0
--- a/src/spanshunt/request_state.py
+++ b/src/spanshunt/request_state.py
@@ -79,7 +79,7 @@
         nothing of it.
     resumable : bool
         Whether it may go on at another worker after part of its answer was given.
-    most_attempts : int
+    max_attempts : int
         Workers that it may run on.
     tried : set
         Workers that had it.
@@ -122,7 +122,7 @@
     limit: Millis
     repeatable: bool
     resumable: bool = False
-    most_attempts: int = 1
+    max_attempts: int = 1
     tried: set[WorkerId] = set()
     broken: bool = False
     sends: int = 0
--- a/src/spanshunt/router.py
+++ b/src/spanshunt/router.py
@@ -30,7 +30,7 @@
 from .systems.preferring import Preferences
 from .systems.worker_choice import Picker
 from .tables.config import OrgRow
-from .tables.preferences import Memory
+from .tables.preferences import PreferenceCache
 from .tables.state import State
 from .tables.workers import WorkerState
 
@@ -73,7 +73,7 @@
         Set to begin a planned stop.
     on_broken : callable
         Called when an invariant broke; it stops the process.
-    preferences : Memory
+    preferences : PreferenceCache
         What was learned of versions, worked out in the last second.
     running : set
         Requests under way.
@@ -100,7 +100,7 @@
     operators: dict[str, OperatorKey]
     stop: asyncio.Event
     on_broken: t.Callable[[InvariantError], None]
-    preferences: Preferences = msgspec.field(default_factory=Memory)
+    preferences: Preferences = msgspec.field(default_factory=PreferenceCache)
     running: set[RequestId] = set()
     credentials: dict[str, OrgId] = {}
     credentials_at: int = -1
--- a/src/spanshunt/systems/admitting.py
+++ b/src/spanshunt/systems/admitting.py
@@ -50,11 +50,11 @@
     catalog_version: int
 
     @property
-    def rank(self) -> int:
+    def priority(self) -> int:
         """The urgency: the organisation's where it has one, else the route's."""
-        if self.org is not None and self.org.rank is not None:
-            return self.org.rank
-        return self.route.rank
+        if self.org is not None and self.org.priority is not None:
+            return self.org.priority
+        return self.route.priority
 
     @property
     def regions(self) -> tuple[frozenset[RegionId], ...]:
--- a/src/spanshunt/systems/cascading.py
+++ b/src/spanshunt/systems/cascading.py
@@ -210,7 +210,7 @@
 
 def lateness(route: RouteRow, first_ms: float) -> float:
     """Return how likely an answer is late whose first event comes after `first_ms`."""
-    part = first_ms / max(1, route.aim_ms)
+    part = first_ms / max(1, route.target_latency_ms)
     return min(1.0, max(0.0, (part - EARLY_PART) / (LATE_PART - EARLY_PART)))
 
 
@@ -233,7 +233,7 @@
     """
     usual = fleet.gain_per_engine_ms.get(service.name, 0.0)
     held_ms = found.wait_ms + 0.5 * found.read_ms
-    busy = held_ms / max(1.0, BUSY_AIM_PART * route.aim_ms)
+    busy = held_ms / max(1.0, BUSY_AIM_PART * route.target_latency_ms)
     late = fleet.lateness.get(service.name, USUAL_LATENESS)
     scarce = min(SCARCE_MOST, late / USUAL_LATENESS)
     return usual * scarce * busy * busy * found.read_ms
@@ -259,7 +259,7 @@
 
 def value(route: RouteRow, service: ServiceRow, tokens: RequestTokens) -> float:
     """Return the worth of a good answer in time, in the catalog's price unit."""
-    factor = RANK_FACTORS[min(route.rank, len(RANK_FACTORS) - 1)]
+    factor = RANK_FACTORS[min(route.priority, len(RANK_FACTORS) - 1)]
     return WORTH_FACTOR * factor * cost(service, route.models[-1], tokens)
 
 
--- a/src/spanshunt/systems/estimating.py
+++ b/src/spanshunt/systems/estimating.py
@@ -171,13 +171,13 @@
     return estimator(fleet, effort, now)(row, owner)
 
 
-def urgency_of(found: Estimate, aim_ms: int) -> int:
+def urgency_of(found: Estimate, target_latency_ms: int) -> int:
     """Return how urgent a request is at an engine, from 0 (first) to `URGENCY_LEAST`.
 
     What is read sooner goes first, as it holds the others up less: each doubling of the
     part of the aim that it takes to read is a step.
     """
-    part = max(found.read_ms, 1.0) / max(1, aim_ms)
+    part = max(found.read_ms, 1.0) / max(1, target_latency_ms)
     steps = math.ceil(math.log2(part))
     return min(URGENCY_LEAST, max(0, URGENCY_LEAST + steps))
 
@@ -324,7 +324,7 @@
         read = RecentPrefill(row.name, effort.model, effort.shared, now)
         fleet.recent_prefills.append(read)
     boxes = len(fleet.peers) + 1
-    capacity = effort.service.memory_tokens / boxes
+    capacity = effort.service.kv_capacity_tokens / boxes
     note_read(row.kept, effort.model, (*effort.shared, own), capacity)
 
 
@@ -337,4 +337,4 @@
     """Take in that another box sent a prompt to an engine."""
     row = fleet.workers.rows.get(read.worker)
     if row is not None:
-        note_read(row.kept, read.model, read.shared, 0.0)
+        note_read(row.kept, read.model, read.shared_parts, 0.0)
--- a/src/spanshunt/systems/fold.py
+++ b/src/spanshunt/systems/fold.py
@@ -28,7 +28,7 @@
 from ..records import Record
 from ..records import RolloutStep
 from ..records import Snapshot
-from ..records import Verdict
+from ..records import StepVerdict
 from ..records import decode_record
 from ..tables.config import Config
 from ..tables.config import HistoryRow
@@ -165,7 +165,7 @@
         return
     if row.state is RolloutState.PULLED_BACK:
         return
-    if record.verdict is Verdict.PULL_BACK:
+    if record.verdict is StepVerdict.PULL_BACK:
         config.rollouts[row.name] = msgspec.structs.replace(
             row, state=RolloutState.PULLED_BACK, reason=record.reason
         )
--- a/src/spanshunt/systems/following.py
+++ b/src/spanshunt/systems/following.py
@@ -34,7 +34,7 @@
         fold_record(state.config, record)
         check_offset(held, state.config.next_offset)
         _note_snapshot(state, record)
-        state.tail.append(record)
+        state.recent_records.append(record)
         taken += 1
     if taken:
         _lift_suspensions(state)
@@ -48,8 +48,8 @@
         return False
     check_offset(state.config.next_offset, config.next_offset)
     state.config = clone(config)
-    state.tail.clear()
-    state.snapshot_at = max(state.snapshot_at, config.next_offset)
+    state.recent_records.clear()
+    state.snapshot_offset = max(state.snapshot_offset, config.next_offset)
     _lift_suspensions(state)
     return True
 
@@ -60,8 +60,10 @@
     """Return what a peer at `start` lacks: records, or a snapshot if they are gone."""
     if start >= state.config.next_offset:
         return (), None
-    if state.tail and state.tail[0].offset <= start:
-        records = tuple(record for record in state.tail if record.offset >= start)
+    if state.recent_records and state.recent_records[0].offset <= start:
+        records = tuple(
+            record for record in state.recent_records if record.offset >= start
+        )
         return records, None
     return (), snapshot_of(state.config)
 
@@ -84,13 +86,13 @@
 
 def snapshot_due(state: State) -> bool:
     """Tell whether a snapshot should be put on the log."""
-    return state.config.next_offset - state.snapshot_at >= SNAPSHOT_EVERY
+    return state.config.next_offset - state.snapshot_offset >= SNAPSHOT_EVERY
 
 
 def _note_snapshot(state: State, record: LogRecord) -> None:
     match decode_record(record.data):
         case Ok(Snapshot(config=config)):
-            state.snapshot_at = max(state.snapshot_at, config.next_offset)
+            state.snapshot_offset = max(state.snapshot_offset, config.next_offset)
         case _:
             pass
 
--- a/src/spanshunt/systems/freshness.py
+++ b/src/spanshunt/systems/freshness.py
@@ -68,9 +68,9 @@
     if state.me.box not in members.listed or not may_witness(state):
         return NEVER
     times = [
-        row.witnessed
+        row.witnessed_at
         for name, row in members.rows.items()
-        if name in members.listed and row.witnessed != NEVER
+        if name in members.listed and row.witnessed_at != NEVER
     ]
     times.append(now)
     times.sort(reverse=True)
@@ -91,8 +91,8 @@
         for name, row in members.rows.items()
         if name in members.listed
         and row.offset > offset
-        and row.answered != NEVER
-        and now - row.answered <= ACK_MS
+        and row.answered_at != NEVER
+        and now - row.answered_at <= ACK_MS
     )
     own = state.me.box in members.listed and state.config.next_offset > offset
     return others + int(own)
--- a/src/spanshunt/systems/gossip.py
+++ b/src/spanshunt/systems/gossip.py
@@ -48,9 +48,9 @@
 
 def tell(state: State, to: Incarnation, now: Millis, rng: random.Random) -> Exchange:
     """Return what to tell a peer."""
-    ticket = state.sent_to.get(to, 0)
+    ticket = state.evidence_sent.get(to, 0)
     evidence, upto = news_since(state.evidence, ticket, EVIDENCE_A_ROUND)
-    state.sent_to[to] = upto
+    state.evidence_sent[to] = upto
     usage = usage_rows(state.usage, state.me.incarnation)
     if len(usage) > USAGE_A_ROUND:
         usage = tuple(rng.sample(usage, USAGE_A_ROUND))
@@ -118,7 +118,7 @@
         domain=state.me.domain,
         address=state.me.address,
         incarnation=state.me.incarnation,
-        beat=state.beat,
+        heartbeat=state.heartbeat,
         offset=state.config.next_offset,
         stopping=state.stopping,
         witness_age=Millis(0),
@@ -135,9 +135,9 @@
             return
         state.members.rows[digest.box] = _new_row(digest, now)
         return
-    if digest.beat <= row.beat:
+    if digest.heartbeat <= row.heartbeat:
         return
-    row.beat = digest.beat
+    row.heartbeat = digest.heartbeat
     row.heard = now
     row.address = digest.address
     row.offset = max(row.offset, digest.offset)
@@ -175,8 +175,8 @@
         if now - row.heard > FORGET_MS and box not in state.members.listed:
             del state.members.rows[box]
     known = {row.incarnation for row in state.members.rows.values()}
-    for incarnation in set(state.sent_to) - known:
-        del state.sent_to[incarnation]
+    for incarnation in set(state.evidence_sent) - known:
+        del state.evidence_sent[incarnation]
     for version, suspended in list(state.suspended.items()):
         if now - suspended.since > SUSPENSION_MS:
             del state.suspended[version]
@@ -188,7 +188,7 @@
         domain=digest.domain,
         address=digest.address,
         incarnation=digest.incarnation,
-        beat=digest.beat,
+        heartbeat=digest.heartbeat,
         heard=now,
         offset=digest.offset,
         stopping=digest.stopping,
@@ -206,13 +206,13 @@
 
 
 def _digest(row: MemberRow, now: Millis) -> MemberDigest:
-    age = NEVER if row.witnessed == NEVER else Millis(max(0, now - row.witnessed))
+    age = NEVER if row.witnessed_at == NEVER else Millis(max(0, now - row.witnessed_at))
     return MemberDigest(
         box=row.box,
         domain=row.domain,
         address=row.address,
         incarnation=row.incarnation,
-        beat=row.beat,
+        heartbeat=row.heartbeat,
         offset=row.offset,
         stopping=row.stopping,
         witness_age=age,
@@ -223,16 +223,16 @@
     row = state.members.rows.get(told.sender.box)
     if row is None or row.incarnation != told.sender.incarnation:
         return
-    row.answered = max(row.answered, sent)
+    row.answered_at = max(row.answered_at, sent)
     row.offset = max(row.offset, told.sender.offset)
     if told.witness:
-        row.witnessed = max(row.witnessed, sent)
+        row.witnessed_at = max(row.witnessed_at, sent)
 
 
 def _witness(state: State, box: BoxId, at: Millis) -> None:
     row = state.members.rows.get(box)
     if row is not None:
-        row.witnessed = max(row.witnessed, at)
+        row.witnessed_at = max(row.witnessed_at, at)
 
 
 def _suspensions(state: State, now: Millis) -> tuple[Suspension, ...]:
--- a/src/spanshunt/systems/guarding.py
+++ b/src/spanshunt/systems/guarding.py
@@ -13,7 +13,7 @@
 from ..ids import Millis
 from ..ids import VersionId
 from ..records import RolloutStep
-from ..records import Verdict
+from ..records import StepVerdict
 from ..tables.config import Config
 from ..tables.config import GuardRails
 from ..tables.config import RolloutRow
@@ -99,7 +99,7 @@
     """Return the pull-back of a version that is shut out, None once it is recorded."""
     if _is_over(config, row):
         return None
-    return _step(row, Verdict.PULL_BACK, reason, box, wall)
+    return _step(row, StepVerdict.PULL_BACK, reason, box, wall)
 
 
 def _is_over(config: Config, row: RolloutRow) -> bool:
@@ -119,16 +119,16 @@
     if row.state is RolloutState.DONE:
         finding = late_finding(row.guards, epochs)
         if finding.log_evidence >= 0:
-            return _step(row, Verdict.PULL_BACK, finding.reason, box, wall)
+            return _step(row, StepVerdict.PULL_BACK, finding.reason, box, wall)
         return None
     totals = _total(epochs)
     finding = ramp_finding(row.guards, totals)
     if finding.log_evidence >= 0:
-        return _step(row, Verdict.PULL_BACK, finding.reason, box, wall)
+        return _step(row, StepVerdict.PULL_BACK, finding.reason, box, wall)
     if finding.part < HOLD_PART and _stage_over(row, totals, wall):
         rated = sum(counts.rated for counts in totals.values())
         reason = f"{rated} ratings and nothing against it"
-        return _step(row, Verdict.ADVANCE, reason, box, wall)
+        return _step(row, StepVerdict.ADVANCE, reason, box, wall)
     return None
 
 
@@ -265,7 +265,7 @@
 
 
 def _step(
-    row: RolloutRow, verdict: Verdict, reason: str, box: BoxId, wall: Millis
+    row: RolloutRow, verdict: StepVerdict, reason: str, box: BoxId, wall: Millis
 ) -> RolloutStep:
     return RolloutStep(
         rollout=row.name,
--- a/src/spanshunt/systems/journaling.py
+++ b/src/spanshunt/systems/journaling.py
@@ -24,8 +24,8 @@
 from ..tables.billing import OrgTotal
 from ..tables.config import ServiceRow
 from ..tables.config import VersionRow
-from ..tables.journal import Copies
 from ..tables.journal import Journal
+from ..tables.journal import JournalCopy
 from ..utils import digest
 
 BATCH_ENTRIES = 2_000
@@ -107,7 +107,7 @@
         if part.incarnation == journal.incarnation:
             held = journal.open
         else:
-            held = journal.copies.get(part.incarnation, Copies()).entries
+            held = journal.copies.get(part.incarnation, JournalCopy()).entries
         for entry in part.entries:
             held.pop(entry.seq, None)
 
@@ -125,7 +125,7 @@
     now: Millis,
 ) -> None:
     """Hold copies for `owner`; drop those before `settled`, which are on the log."""
-    copies = journal.copies.setdefault(owner, Copies())
+    copies = journal.copies.setdefault(owner, JournalCopy())
     copies.heard = now
     for entry in entries:
         copies.entries[entry.seq] = entry
--- a/src/spanshunt/systems/learning.py
+++ b/src/spanshunt/systems/learning.py
@@ -106,9 +106,9 @@
     The oldest changes come first, so that a peer which asks again gets the rest.
     """
     found: list[EpochCounts] = []
-    upto = evidence.ticket
+    upto = evidence.next_change
     recent = []
-    for key, changed in reversed(evidence.changed.items()):
+    for key, changed in reversed(evidence.change_numbers.items()):
         if changed < ticket:
             break
         recent.append((key, changed))
@@ -136,7 +136,7 @@
     oldest = epoch_of(wall) - EPOCHS
     for key in [key for key in evidence.rows if key.epoch <= oldest]:
         gone = evidence.rows.pop(key)
-        del evidence.changed[key]
+        del evidence.change_numbers[key]
         evidence.by_version[key.cell.version].discard(key)
         _take_from_pool(evidence.pool, key.cell, gone)
 
@@ -209,9 +209,9 @@
 
 
 def _touch(evidence: Evidence, key: EvidenceKey) -> None:
-    evidence.changed.pop(key, None)
-    evidence.changed[key] = evidence.ticket
-    evidence.ticket += 1
+    evidence.change_numbers.pop(key, None)
+    evidence.change_numbers[key] = evidence.next_change
+    evidence.next_change += 1
 
 
 def _row(evidence: Evidence, key: EvidenceKey) -> Counts:
--- a/src/spanshunt/systems/limiting.py
+++ b/src/spanshunt/systems/limiting.py
@@ -14,8 +14,8 @@
 from ..ids import Millis
 from ..ids import OrgId
 from ..tables.config import Limits
-from ..tables.usage import Heard
 from ..tables.usage import OwnUsage
+from ..tables.usage import PeerUsage
 from ..tables.usage import Usage
 from ..tables.usage import UsageRow
 
@@ -128,7 +128,7 @@
     """Take in rows that a peer sent of itself."""
     for row in rows:
         if row.origin != own_origin:
-            usage.heard[(row.origin, row.org)] = Heard(row, now)
+            usage.heard[(row.origin, row.org)] = PeerUsage(row, now)
 
 
 def _own(usage: Usage, org: OrgId, limits: Limits, boxes: int, now: Millis) -> OwnUsage:
@@ -142,9 +142,9 @@
 
 def _refill(own: OwnUsage, limits: Limits, boxes: int, now: Millis) -> None:
     most = max(1.0, limits.burst * own.allowance / limits.rate)
-    grown = own.tokens + own.allowance * (now - own.refilled) / 1000
+    grown = own.tokens + own.allowance * (now - own.refilled_at) / 1000
     own.tokens = min(most, grown)
-    own.refilled = now
+    own.refilled_at = now
 
 
 def _running_bound(own: OwnUsage, limits: Limits, boxes: int) -> int:
--- a/src/spanshunt/systems/placing.py
+++ b/src/spanshunt/systems/placing.py
@@ -84,7 +84,7 @@
         The failure domain of this box.
     effort : Effort or None
         What a prompt asks of an engine; None for plain requests.
-    aim_ms : int
+    target_latency_ms : int
         Time within which the first event shall come, in ms.
     avoid : collection of str
         Workers that had the request already.
@@ -105,7 +105,7 @@
     rule: VersionRule
     domain: DomainId
     effort: Effort | None = None
-    aim_ms: Millis = Millis(0)
+    target_latency_ms: Millis = Millis(0)
     avoid: t.Collection[WorkerId] = ()
     again: bool = False
     silent: t.Collection[WorkerId] = ()
@@ -203,8 +203,8 @@
     speed = speed_of(fleet, effort.service, effort.model)
     own_ms = speed.base_ms + (effort.read - effort.shared_tokens) * speed.read_ms
     estimate = estimator(fleet, effort, now)
-    aim_ms = wanted.aim_ms
-    noise = NOISE_AIM_PART * aim_ms
+    target_latency_ms = wanted.target_latency_ms
+    noise = NOISE_AIM_PART * target_latency_ms
     best, best_found, least = rows[0], Estimate(), math.inf
     for row in rows:
         owns = row.name == owner
@@ -214,7 +214,11 @@
             aims += FAR_AIM_PART
         if is_limited(row):
             aims -= GRANT_AIM_PART
-        cost = found.wait_ms + (own_ms if owns else found.read_ms) + aims * aim_ms
+        cost = (
+            found.wait_ms
+            + (own_ms if owns else found.read_ms)
+            + aims * target_latency_ms
+        )
         cost += noise * rng.random()
         if cost < least:
             best, best_found, least = row, found, cost
@@ -309,7 +313,7 @@
     if effort is None or not effort.shared:
         return WorkerId("")
     near = [row.name for row in rows if row.domain == wanted.domain]
-    everywhere = shared_read_ms(fleet, effort) > FAR_AIM_PART * wanted.aim_ms
+    everywhere = shared_read_ms(fleet, effort) > FAR_AIM_PART * wanted.target_latency_ms
     names = near if near and not everywhere else [row.name for row in rows]
     key = part_key(effort.model, effort.shared[-1].name)
     return WorkerId(rendezvous(key, names, 1)[0])
--- a/src/spanshunt/systems/preferring.py
+++ b/src/spanshunt/systems/preferring.py
@@ -19,7 +19,7 @@
 from ..tables.evidence import Cell
 from ..tables.evidence import Counts
 from ..tables.evidence import Pool
-from ..tables.preferences import Memory
+from ..tables.preferences import PreferenceCache
 from .choice_rows import Asked
 from .journaling import TOKENS_PER_PRICE
 from .learning import Estimate
@@ -86,7 +86,7 @@
     settled: tuple[str, ...]
 
 
-Preferences = Memory[PreferenceKey, Preference]
+Preferences = PreferenceCache[PreferenceKey, Preference]
 """Preferences worked out in the last second."""
 
 
--- a/src/spanshunt/systems/tallies.py
+++ b/src/spanshunt/systems/tallies.py
@@ -52,7 +52,7 @@
     row = fleet.rollouts.rows.get(service)
     if row is None or row.verdict is Verdict.ROLLED_BACK:
         return
-    row.change_count += 1
+    row.changes += 1
     entering = row.version in worker.versions
     epoch = max(0, now - row.began) // EPOCH_MS
     row.own.routes.setdefault(TallyKey(route, entering, epoch), Tally()).add(seen)
@@ -76,11 +76,11 @@
     They are added up once for all that looks at them between two changes: a judgement
     looks three times.
     """
-    if row.total_change_count != row.change_count:
+    if row.total_changes != row.changes:
         row.total = add_up(
             row.own, *row.same_domain.values(), *row.other_domains.values()
         )
-        row.total_change_count = row.change_count
+        row.total_changes = row.changes
     return row.total
 
 
--- a/src/spanshunt/systems/timing.py
+++ b/src/spanshunt/systems/timing.py
@@ -45,13 +45,15 @@
     """Return how long to wait for a first byte of a silent worker, in ms."""
     usual = usual_first_ms(fleet, route, model, read)
     if usual <= 0.0:
-        return UNKNOWN_AIM_PART * route.aim_ms
-    return max(FIRST_AIM_PART * route.aim_ms, FIRST_FACTOR * usual)
+        return UNKNOWN_AIM_PART * route.target_latency_ms
+    return max(FIRST_AIM_PART * route.target_latency_ms, FIRST_FACTOR * usual)
 
 
 def gap_limit_ms(route: RouteRow) -> float:
     """Return how long a stream of a silent worker is waited for, in ms."""
-    return max(GAP_LEAST_MS, FIRST_AIM_PART * (route.gap_aim_ms or route.aim_ms))
+    return max(
+        GAP_LEAST_MS, FIRST_AIM_PART * (route.target_gap_ms or route.target_latency_ms)
+    )
 
 
 def is_alive(worker: WorkerRow, now: Millis) -> bool:
--- a/src/spanshunt/systems/warming.py
+++ b/src/spanshunt/systems/warming.py
@@ -56,7 +56,7 @@
     catalog = fleet.catalog
     service = catalog.services.get(row.service) if catalog is not None else None
     if service is not None:
-        row.cold_until = max(row.cold_until, Millis(now + service.cold_ms))
+        row.cold_until = max(row.cold_until, Millis(now + service.cold_start_ms))
 
 
 def _planned_rate(fleet: Fleet, row: WorkerRow) -> float:
--- a/src/spanshunt/systems/watching.py
+++ b/src/spanshunt/systems/watching.py
@@ -76,7 +76,7 @@
     for row in fleet.rollouts.rows.values():
         if row.verdict is not Verdict.SUCCEEDED:
             continue
-        row.change_count += 1
+        row.changes += 1
         oldest = (now - row.began) // EPOCH_MS - WATCHED_EPOCHS
         for tallies in (
             row.own,
--- a/src/spanshunt/tables/catalog.py
+++ b/src/spanshunt/tables/catalog.py
@@ -28,7 +28,7 @@
     STREAM = "stream"
 
 
-class Share(msgspec.Struct, frozen=True):
+class TrafficShare(msgspec.Struct, frozen=True):
     """The relative weight of one service in a route's traffic."""
 
     service: ServiceId
@@ -49,19 +49,19 @@
         Whether a request of this route may run more than once.
     resumable : bool
         Whether another worker may continue a stream after its last complete event.
-    shares : tuple of Share
+    shares : tuple of TrafficShare
         The services that answer it.
     models : tuple of str
         Models that may answer a request that names no model, smallest first.
-    most_attempts : int
+    max_attempts : int
         Maximum number of workers that one request may run on.
     timeout_ms : int
         Longest time that a request may take, in ms.
-    aim_ms : int
+    target_latency_ms : int
         Target time to the answer, or to a stream's first event, in ms.
-    gap_aim_ms : int
+    target_gap_ms : int
         Target for the longest pause between events of a stream, in ms; 0 for none.
-    rank : int
+    priority : int
         Priority of the requests; 0 is the most urgent.
     anonymous : bool
         Whether requests need no credential.
@@ -73,14 +73,14 @@
     host: str
     prefix: str
     kind: RequestKind
-    shares: tuple[Share, ...]
+    shares: tuple[TrafficShare, ...]
     timeout_ms: Millis
-    aim_ms: Millis
+    target_latency_ms: Millis
     models: tuple[ModelId, ...] = ()
     resumable: bool = False
-    most_attempts: int = 1
-    gap_aim_ms: Millis = Millis(0)
-    rank: int = 0
+    max_attempts: int = 1
+    target_gap_ms: Millis = Millis(0)
+    priority: int = 0
     anonymous: bool = False
     regions: frozenset[RegionId] = frozenset()
 
@@ -102,9 +102,9 @@
     costs : dict
         Price of 1,000 generated tokens by model; a prompt token costs a quarter of a
         generated one. Empty for plain services.
-    memory_tokens : int
+    kv_capacity_tokens : int
         Capacity of the key-value cache of one engine, in tokens; 0 if unknown.
-    cold_ms : int
+    cold_start_ms : int
         How long a worker is slow after its start, in ms; 0 for not at all.
     cold_per_s : float
         Requests a second that a cold worker can take from all boxes; 0 for unknown.
@@ -112,8 +112,8 @@
 
     name: ServiceId
     costs: dict[ModelId, float] = {}
-    memory_tokens: int = 0
-    cold_ms: Millis = Millis(0)
+    kv_capacity_tokens: int = 0
+    cold_start_ms: Millis = Millis(0)
     cold_per_s: float = 0.0
 
 
@@ -126,7 +126,7 @@
         Its name.
     credentials : tuple of str
         Credentials that its callers may present.
-    rank : int or None
+    priority : int or None
         Priority of its requests; None to use the route's.
     regions : frozenset of str
         Regions whose workers may answer it; empty for any.
@@ -134,7 +134,7 @@
 
     name: OrgId
     credentials: tuple[str, ...]
-    rank: int | None = None
+    priority: int | None = None
     regions: frozenset[RegionId] = frozenset()
 
 
@@ -157,11 +157,12 @@
     routes, services, orgs, limits
         What operators declare.
     by_host : dict
-        Routes by host, longest prefix first; filled in by :func:`index`.
+        Routes by host, longest prefix first; filled in by :func:`index_catalog`.
     by_credential : dict
-        Organisations by credential; filled in by :func:`index`.
-    most_urgent : dict
-        Rank of each service's most urgent route; filled in by :func:`index`.
+        Organisations by credential; filled in by :func:`index_catalog`.
+    highest_priority : dict
+        Lowest priority number of each service's routes; filled in by
+        :func:`index_catalog`.
     """
 
     version: int
@@ -171,16 +172,16 @@
     limits: CallerLimits = CallerLimits()
     by_host: dict[str, list[RouteRow]] = {}
     by_credential: dict[str, OrgRow] = {}
-    most_urgent: dict[ServiceId, int] = {}
+    highest_priority: dict[ServiceId, int] = {}
 
 
-def index(catalog: Catalog) -> Catalog:
+def index_catalog(catalog: Catalog) -> Catalog:
     """Fill in the look-up tables of a catalog and return it."""
     for route in sorted(catalog.routes, key=lambda row: -len(row.prefix)):
         catalog.by_host.setdefault(route.host, []).append(route)
         for share in route.shares:
-            best_rank = catalog.most_urgent.get(share.service, route.rank)
-            catalog.most_urgent[share.service] = min(best_rank, route.rank)
+            highest = catalog.highest_priority.get(share.service, route.priority)
+            catalog.highest_priority[share.service] = min(highest, route.priority)
     for org in catalog.orgs:
         for credential in org.credentials:
             catalog.by_credential[credential] = org
--- a/src/spanshunt/tables/engines.py
+++ b/src/spanshunt/tables/engines.py
@@ -58,7 +58,7 @@
         The worker that runs the engine.
     model : str
         The model that processes the prompt.
-    shared : tuple of PromptPart
+    shared_parts : tuple of PromptPart
         Shared parts of the prompt, in order.
     at : int
         When the prompt was sent, in ms.
@@ -66,7 +66,7 @@
 
     worker: WorkerId
     model: ModelId
-    shared: tuple[PromptPart, ...]
+    shared_parts: tuple[PromptPart, ...]
     at: Millis
 
 
--- a/src/spanshunt/tables/evidence.py
+++ b/src/spanshunt/tables/evidence.py
@@ -142,14 +142,14 @@
         Sums of the counts, updated with each change.
     by_version : dict
         Keys of the rows by version.
-    changed : dict
+    change_numbers : dict
         Number of the last change by row, in ascending order.
-    ticket : int
+    next_change : int
         Number of the next change.
     """
 
     rows: dict[EvidenceKey, Counts] = {}
     pool: Pool = msgspec.field(default_factory=Pool)
     by_version: dict[VersionId, set[EvidenceKey]] = {}
-    changed: dict[EvidenceKey, int] = {}
-    ticket: int = 0
+    change_numbers: dict[EvidenceKey, int] = {}
+    next_change: int = 0
--- a/src/spanshunt/tables/journal.py
+++ b/src/spanshunt/tables/journal.py
@@ -7,7 +7,7 @@
 from ..records import BillEntry
 
 
-class Copies(msgspec.Struct):
+class JournalCopy(msgspec.Struct):
     """Copies of another incarnation's entries, held in case that box fails.
 
     Attributes
@@ -40,7 +40,7 @@
     incarnation: Incarnation
     next_seq: int = 0
     open: dict[int, BillEntry] = {}
-    copies: dict[Incarnation, Copies] = {}
+    copies: dict[Incarnation, JournalCopy] = {}
 
     @property
     def size(self) -> int:
--- a/src/spanshunt/tables/members.py
+++ b/src/spanshunt/tables/members.py
@@ -22,16 +22,16 @@
         Address of its peer protocol, ``host:port``.
     incarnation : str
         Current run of its daemon.
-    beat : int
+    heartbeat : int
         Heartbeat counter of the box; it rises by one in each gossip period.
     heard : int
         When this box last saw the counter rise, in ms of the monotonic clock.
     offset : int
         Offset of the first configuration record that the peer has not folded.
-    witnessed : int
+    witnessed_at : int
         Send time of the latest exchange that the peer answered as a witness, directly
         or through another peer, in ms of the monotonic clock; -1 for none.
-    answered : int
+    answered_at : int
         Send time of the latest exchange with this box that the peer answered, as a
         witness or not, in ms of the monotonic clock; -1 for none.
     stopping : bool
@@ -42,11 +42,11 @@
     domain: DomainId
     address: str
     incarnation: Incarnation
-    beat: int = 0
+    heartbeat: int = 0
     heard: Millis = Millis(0)
     offset: Offset = Offset(0)
-    witnessed: Millis = Millis(-1)
-    answered: Millis = Millis(-1)
+    witnessed_at: Millis = Millis(-1)
+    answered_at: Millis = Millis(-1)
     stopping: bool = False
 
 
--- a/src/spanshunt/tables/preferences.py
+++ b/src/spanshunt/tables/preferences.py
@@ -16,18 +16,18 @@
 V = t.TypeVar("V")
 
 
-class Remembered(msgspec.Struct, t.Generic[V]):
+class CachedValue(msgspec.Struct, t.Generic[V]):
     """A cached value and when it was computed, in ms."""
 
     value: V
     at: Millis
 
 
-class Memory(t.Generic[K, V]):
+class PreferenceCache(t.Generic[K, V]):
     """A cache of values by key; each value lives for :data:`LIFETIME_MS`."""
 
     def __init__(self) -> None:
-        self._rows: dict[K, Remembered[V]] = {}
+        self._rows: dict[K, CachedValue[V]] = {}
 
     def get(self, key: K, now: Millis, compute: t.Callable[[], V]) -> V:
         """Return the value of `key`, computing it if it is missing or expired."""
@@ -37,7 +37,7 @@
         value = compute()
         if len(self._rows) >= MAX_ROWS:
             self._rows.clear()
-        self._rows[key] = Remembered(value, now)
+        self._rows[key] = CachedValue(value, now)
         return value
 
     def clear(self) -> None:
--- a/src/spanshunt/tables/rollouts.py
+++ b/src/spanshunt/tables/rollouts.py
@@ -195,11 +195,11 @@
         Tallies of the other boxes in this failure domain, by incarnation.
     other_domains : dict
         Summed tallies of the other failure domains.
-    change_count : int
+    changes : int
         Number of changes to any of these tallies.
     total : Tallies
         Cached sum of the tallies, read through `pooled`.
-    total_change_count : int
+    total_changes : int
         The number of changes at which `total` was computed; -1 for never.
     """
 
@@ -228,9 +228,9 @@
     own: Tallies = msgspec.field(default_factory=Tallies)
     same_domain: dict[Incarnation, Tallies] = {}
     other_domains: dict[DomainId, Tallies] = {}
-    change_count: int = 0
+    changes: int = 0
     total: Tallies = msgspec.field(default_factory=Tallies)
-    total_change_count: int = -1
+    total_changes: int = -1
 
 
 class ExposureBounds(msgspec.Struct, frozen=True):
--- a/src/spanshunt/tables/sessions.py
+++ b/src/spanshunt/tables/sessions.py
@@ -16,7 +16,7 @@
     """The version of a session, and when the pin was last used, in ms."""
 
     version: VersionId
-    used: Millis
+    used_at: Millis
 
 
 class Pins(msgspec.Struct):
@@ -27,9 +27,9 @@
     def get(self, key: str, now: Millis) -> VersionId | None:
         """Return the version of a session and mark the pin as used."""
         row = self.rows.pop(key, None)
-        if row is None or now - row.used > PIN_LIFETIME_MS:
+        if row is None or now - row.used_at > PIN_LIFETIME_MS:
             return None
-        row.used = now
+        row.used_at = now
         self.rows[key] = row
         return row.version
 
--- a/src/spanshunt/tables/state.py
+++ b/src/spanshunt/tables/state.py
@@ -52,19 +52,19 @@
     ----------
     me : Identity
         Identity of this daemon.
-    tail : deque of LogRecord
+    recent_records : deque of LogRecord
         The configuration records that were folded last.
     started : int
         When this run of the daemon began, in ms of the monotonic clock.
     fresh_at : int
         When the configuration was last known to be current, in ms; -1 for never.
-    beat : int
+    heartbeat : int
         This box's heartbeat counter.
     stopping : bool
         Whether a planned stop is in progress.
-    snapshot_at : int
+    snapshot_offset : int
         ``next_offset`` of the newest snapshot seen on the log.
-    sent_to : dict
+    evidence_sent : dict
         For each peer incarnation, the number of the first change of evidence that was
         not sent to it.
     """
@@ -79,15 +79,15 @@
     usage: Usage = msgspec.field(default_factory=Usage)
     pins: Pins = msgspec.field(default_factory=Pins)
     suspended: dict[VersionId, SuspendedRow] = {}
-    tail: collections.deque[LogRecord] = msgspec.field(
+    recent_records: collections.deque[LogRecord] = msgspec.field(
         default_factory=lambda: collections.deque(maxlen=TAIL_RECORDS)
     )
     started: Millis = Millis(0)
     fresh_at: Millis = Millis(-1)
-    beat: int = 0
+    heartbeat: int = 0
     stopping: bool = False
-    snapshot_at: Offset = Offset(0)
-    sent_to: dict[Incarnation, int] = {}
+    snapshot_offset: Offset = Offset(0)
+    evidence_sent: dict[Incarnation, int] = {}
 
 
 def new_state(me: Identity, now: Millis) -> State:
--- a/src/spanshunt/tables/usage.py
+++ b/src/spanshunt/tables/usage.py
@@ -34,7 +34,7 @@
     spent: Micros
 
 
-class Heard(msgspec.Struct):
+class PeerUsage(msgspec.Struct):
     """A peer's usage row and when it arrived, in ms of the monotonic clock."""
 
     row: UsageRow
@@ -48,7 +48,7 @@
     ----------
     tokens : float
         Tokens in the bucket: requests that may start at once.
-    refilled : int
+    refilled_at : int
         When the token bucket was last refilled, in ms.
     allowance : float
         This box's share of the organisation's rate limit, in requests a second.
@@ -68,7 +68,7 @@
     """
 
     tokens: float
-    refilled: Millis
+    refilled_at: Millis
     allowance: float
     asked: int = 0
     demand: float = 0.0
@@ -83,4 +83,4 @@
     """All usage known to this box: its own, and peers' by origin and organisation."""
 
     own: dict[OrgId, OwnUsage] = {}
-    heard: dict[tuple[str, OrgId], Heard] = {}
+    heard: dict[tuple[str, OrgId], PeerUsage] = {}
--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -144,7 +144,7 @@
     service = ServiceRow(
         ServiceId("writer"),
         {ModelId("small"): 0.01, ModelId("middle"): 0.1, ModelId("large"): 0.2},
-        memory_tokens=100_000,
+        kv_capacity_tokens=100_000,
     )
     parts = (PromptPart(part, shared),) if shared else ()
     return Effort(service, ModelId(model), read, parts)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -15,7 +15,7 @@
 from spanshunt.tables.evidence import Cell
 from spanshunt.tables.evidence import Counts
 from spanshunt.tables.evidence import Evidence
-from spanshunt.tables.preferences import Memory
+from spanshunt.tables.preferences import PreferenceCache
 
 
 def chosen(config, evidence=None, **changes):
@@ -25,7 +25,7 @@
                   | changes)  # fmt: skip
     pool = (evidence or Evidence()).pool
     held = {CHEAP, DEAR, "chico@2"} - set(changes.get("away", ()))
-    return choose(config, pool, asked, lambda name: name in held, Memory(), 0)
+    return choose(config, pool, asked, lambda name: name in held, PreferenceCache(), 0)
 
 
 def rated(evidence, version: str, rated: int, good: int, org: str = "museo") -> None:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -21,7 +21,7 @@
 from spanshunt.ids import Millis
 from spanshunt.ids import VersionId
 from spanshunt.records import RolloutStep
-from spanshunt.records import Verdict
+from spanshunt.records import StepVerdict
 from spanshunt.systems.learning import observe
 from spanshunt.tables.evidence import Cell
 from spanshunt.tables.evidence import Counts
@@ -71,7 +71,7 @@
     def shut_out(self, reason: str) -> None:
         self.state.suspended[NEW] = SuspendedRow(self.rollout, 0, reason, Millis(0))
 
-    async def verdicts(self) -> list[Verdict]:
+    async def verdicts(self) -> list[StepVerdict]:
         await self.duties.judge_rollouts()
         return [step.verdict for step in self.appended.steps]
 
@@ -85,22 +85,22 @@
     judging.rate(good=20, bad=40)
     judging.shut_out("20 of 60 answers good")
     judging.rate(good=400, bad=0)
-    assert await judging.verdicts() == [Verdict.PULL_BACK]
+    assert await judging.verdicts() == [StepVerdict.PULL_BACK]
     assert judging.appended.steps[0].reason == "20 of 60 answers good"
 
 
 async def test_version_that_another_box_shut_out_is_recorded_by_this_one(judging):
     """The box that judged it may be gone before it was its turn."""
     judging.shut_out("told by a peer")
-    assert await judging.verdicts() == [Verdict.PULL_BACK]
+    assert await judging.verdicts() == [StepVerdict.PULL_BACK]
 
 
 async def test_version_that_is_shut_out_does_not_advance(judging):
     judging.shut_out("bad")
     judging.rate(good=400, bad=0)
-    assert Verdict.ADVANCE not in await judging.verdicts()
+    assert StepVerdict.ADVANCE not in await judging.verdicts()
 
 
 async def test_version_that_nobody_shut_out_advances_as_before(judging):
     judging.rate(good=400, bad=0)
-    assert await judging.verdicts() == [Verdict.ADVANCE]
+    assert await judging.verdicts() == [StepVerdict.ADVANCE]
--- a/tests/test_estimating.py
+++ b/tests/test_estimating.py
@@ -215,7 +215,7 @@
             rule=VersionRule(),
             domain=DomainId("north"),
             effort=an_effort(shared=0),
-            aim_ms=ms(2),
+            target_latency_ms=ms(2),
         )
         placed = place(fleet, wanted, ms(1), random.Random(number))
         taken[placed.worker.name] = taken.get(placed.worker.name, 0) + 1
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -14,7 +14,7 @@
 from spanshunt.records import Lease
 from spanshunt.records import LogRecord
 from spanshunt.records import RolloutStep
-from spanshunt.records import Verdict
+from spanshunt.records import StepVerdict
 from spanshunt.records import decode_record
 from spanshunt.records import encode_record
 from spanshunt.systems.fold import fold_record
@@ -91,7 +91,7 @@
 
 
 class TestRolloutSteps:
-    def step(self, config, stage: int, verdict: Verdict = Verdict.ADVANCE):
+    def step(self, config, stage: int, verdict: StepVerdict = StepVerdict.ADVANCE):
         rollout = next(iter(config.rollouts))
         return RolloutStep(rollout, stage, verdict, "because", "box-1", 0)
 
@@ -115,7 +115,7 @@
 
     def test_advance_after_a_pull_back_does_nothing(self):
         config = self.entered()
-        put(config, self.step(config, 0, Verdict.PULL_BACK))
+        put(config, self.step(config, 0, StepVerdict.PULL_BACK))
         put(config, self.step(config, 0))
         assert config.versions["chico@2"].state is VersionState.WITHDRAWN
 
@@ -123,7 +123,7 @@
         config = self.entered()
         for stage in range(4):
             put(config, self.step(config, stage))
-        put(config, self.step(config, 3, Verdict.PULL_BACK))
+        put(config, self.step(config, 3, StepVerdict.PULL_BACK))
         assert config.versions["chico@2"].state is VersionState.WITHDRAWN
 
 
--- a/tests/test_guarding.py
+++ b/tests/test_guarding.py
@@ -6,7 +6,7 @@
 from builders import base_config
 from builders import confirm_of
 from builders import put
-from spanshunt.records import Verdict
+from spanshunt.records import StepVerdict
 from spanshunt.systems.guarding import judge
 from spanshunt.systems.learning import observe
 from spanshunt.systems.limiting import OverLimit
@@ -78,7 +78,7 @@
         evidence = Evidence()
         self.seen(evidence, runs=60, rated=60, good=58)
         assert self.verdict(config, row, evidence, at=1_000) is None
-        assert self.verdict(config, row, evidence) is Verdict.ADVANCE
+        assert self.verdict(config, row, evidence) is StepVerdict.ADVANCE
 
     def test_pulls_back_on_bad_ratings_errors_or_latency(self):
         for counts in (
@@ -89,7 +89,7 @@
             config, row = self.entered()
             evidence = Evidence()
             self.seen(evidence, **counts)
-            assert self.verdict(config, row, evidence) is Verdict.PULL_BACK
+            assert self.verdict(config, row, evidence) is StepVerdict.PULL_BACK
 
     def test_pulls_back_for_one_bad_class(self):
         config, row = self.entered()
@@ -97,7 +97,7 @@
         self.seen(evidence, "description", runs=2000, rated=2000, good=1900)
         self.seen(evidence, "note", runs=80, rated=80, good=20)
         step = judge(config, row, evidence, "box", 100_000)
-        assert step.verdict is Verdict.PULL_BACK
+        assert step.verdict is StepVerdict.PULL_BACK
         assert "class note" in step.reason
 
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -77,11 +77,11 @@
 def test_prompt_memory_draws_to_one_worker_unless_it_is_busy():
     fleet = fleet_of("a", "b", "c")
     learn_speed(fleet, "large", read_ms=0.1)
-    found = chosen(fleet, effort=prompt(), aim_ms=ms(2))
+    found = chosen(fleet, effort=prompt(), target_latency_ms=ms(2))
     assert len(found) == 1
     owner = next(iter(found))
     fleet.workers.rows[owner].prefill_ms = 400.0
-    assert owner not in chosen(fleet, effort=prompt(), aim_ms=ms(2))
+    assert owner not in chosen(fleet, effort=prompt(), target_latency_ms=ms(2))
 
 
 def test_prompts_dear_to_read_have_one_owner_in_all_and_others_one_a_domain():
@@ -94,7 +94,10 @@
             add_worker(fleet, make_worker(name, domain=domain))
         learn_speed(fleet, "large", read_ms=read_ms)
         rows = list(fleet.workers.rows.values())
-        asked = [wanted(effort=an_effort(part=str(n)), aim_ms=ms(2)) for n in range(40)]
+        asked = [
+            wanted(effort=an_effort(part=str(n)), target_latency_ms=ms(2))
+            for n in range(40)
+        ]
         owners[read_ms] = {owner_of(fleet, rows, one) for one in asked}
     assert owners[0.001] == {"n1", "n2"}
     assert owners[0.5] == set(names)
@@ -103,10 +106,10 @@
 def test_prompt_goes_where_less_waits_though_boxes_agree_on_another():
     fleet = fleet_of("a", "b")
     learn_speed(fleet, "large", read_ms=0.1)
-    owner = next(iter(chosen(fleet, effort=prompt(), aim_ms=ms(2))))
+    owner = next(iter(chosen(fleet, effort=prompt(), target_latency_ms=ms(2))))
     other = ({"a", "b"} - {owner}).pop()
     fleet.workers.rows[owner].peer_prefill_ms[BoxId("box-2")] = (900.0, ms(0))
-    assert set(chosen(fleet, effort=prompt(), aim_ms=ms(2))) == {other}
+    assert set(chosen(fleet, effort=prompt(), target_latency_ms=ms(2))) == {other}
 
 
 def test_leaving_workers_get_nothing_even_when_no_other_is_left():
--- a/tests/test_throttling.py
+++ b/tests/test_throttling.py
@@ -214,7 +214,7 @@
         VersionRule(),
         DomainId("north"),
         effort=effort,
-        aim_ms=Millis(1_500),
+        target_latency_ms=Millis(1_500),
     )
     placed = place(fleet, wanted, ms(0.1), seeded())
     assert placed is not None
