--- a/bench/play_engines.py
+++ b/bench/play_engines.py
@@ -181,7 +181,7 @@
     status = 500
     not_run = False
     replaced = False
-    flaw = ""
+    defect = ""
     confidence: float | None = None
     load: Load | None = None
 
@@ -207,7 +207,7 @@
     status = 200
     not_run = False
     replaced = False
-    flaw = ""
+    defect = ""
 
     def __init__(
         self, engine: Engine, dispatch: Dispatch, slow_x: float, *, bad: bool
--- a/bench/play_fleet.py
+++ b/bench/play_fleet.py
@@ -101,7 +101,9 @@
         """Take a refusal."""
         self.status = 503
 
-    async def whole(self, status: int, headers: CIMultiDict[str], body: bytes) -> None:
+    async def send_whole(
+        self, status: int, headers: CIMultiDict[str], body: bytes
+    ) -> None:
         """Take a worker's whole answer."""
         self.status, self.ended = status, status < 300
 
@@ -116,7 +118,7 @@
         """Take the end of a stream."""
         self.ended = True
 
-    async def break_off(self, refusal: Refusal) -> None:
+    async def end_incomplete(self, refusal: Refusal) -> None:
         """Take that a stream can't be finished."""
 
     def abort(self) -> None:
@@ -162,7 +164,7 @@
         me = Identity(
             BoxId(name), DomainId(domain), f"{name}:1", Incarnation(f"{name}.{run:04d}")
         )
-        self.fleet = Fleet(me=me)
+        self.fleet = Fleet(identity=me)
         self.fleet.rollouts.bounds = play.bounds
         self.fleet.cold_bounds = play.cold
         self.fleet.discovery_until = Millis(clock.now() + ALONE_MS)
--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -51,7 +51,9 @@
 
     def __init__(self, number: int, domains: int, rng: random.Random) -> None:
         name, domain = BoxId(f"box-{number:04}"), DomainId(f"d-{number % domains}")
-        self.fleet = Fleet(me=Identity(name, domain, f"{name}:1", Incarnation(name)))
+        self.fleet = Fleet(
+            identity=Identity(name, domain, f"{name}:1", Incarnation(name))
+        )
         self.fleet.catalog = Catalog(1, (), {}, ())
         self.near, self.far = Partners(rng), Partners(rng)
         self.phase = rng.randrange(EXCHANGES_APART)
@@ -59,25 +61,25 @@
 
     def meet(self, other: "Box") -> None:
         """Let it know another box."""
-        me = other.fleet.me
+        me = other.fleet.identity
         row = PeerRow(me.box, me.address, me.domain, heard=Millis(0))
         self.fleet.peers[me.box] = row
 
     def whom_to_ask(self, now: Millis, *, cut: bool) -> set[BoxId]:
         """Return the peers of this round."""
         peers = list(self.fleet.peers.values())
-        near = [row for row in peers if row.domain == self.fleet.me.domain]
-        far = [row for row in peers if row.domain != self.fleet.me.domain]
+        near = [row for row in peers if row.domain == self.fleet.identity.domain]
+        far = [row for row in peers if row.domain != self.fleet.identity.domain]
         asked = self.near.draw(near, 1, now)
         asked += [] if cut else self.far.draw(far, 1, now)
         for row in asked:
             row.asked = now
         reader = reader_of(self.fleet, now)
-        return {row.box for row in asked} | ({reader} - {self.fleet.me.box})
+        return {row.box for row in asked} | ({reader} - {self.fleet.identity.box})
 
     def hear(self, other: "Box", now: Millis) -> None:
         """Take in what another box tells."""
-        self.fleet.peers[other.fleet.me.box].heard = now
+        self.fleet.peers[other.fleet.identity.box].heard = now
         take_told_proof(self.fleet, 1, other.fleet.catalog_proof)
 
     def tick(self, now: Millis, bound_ms: int) -> int:
@@ -108,7 +110,7 @@
     """Play a fleet and return what its proofs cost."""
     rng = random.Random(seed)
     fleet = [Box(number, domains, rng) for number in range(boxes)]
-    by_name = {box.fleet.me.box: box for box in fleet}
+    by_name = {box.fleet.identity.box: box for box in fleet}
     for box in fleet:
         for other in fleet:
             if other is not box and (not cut or _are_near(box, other)):
@@ -131,7 +133,7 @@
 
 
 def _are_near(one: Box, other: Box) -> bool:
-    return one.fleet.me.domain == other.fleet.me.domain
+    return one.fleet.identity.domain == other.fleet.identity.domain
 
 
 @cappa.command(name="proofs", help="What proofs of the newest catalog cost.")
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -134,7 +134,7 @@
     for size in sizes:
         boxes = [a_state(number) for number in range(size)]
         rng = random.Random(1)
-        addresses = {box.me.box: box for box in boxes}
+        addresses = {box.identity.box: box for box in boxes}
         for box in boxes:
             for other in rng.sample(boxes, min(size, 20)):
                 _round(box, other, 0, rng)
@@ -151,7 +151,7 @@
 def _round(one: State, other: State, now: int, rng: random.Random) -> int:
     at = Millis(now)
     one.heartbeat += 1
-    told = tell(one, other.me.incarnation, at, rng)
+    told = tell(one, other.identity.incarnation, at, rng)
     raw = msgspec.msgpack.encode(told)
     got = answer(other, msgspec.msgpack.decode(raw, type=Exchange), at, at, rng)
     back = msgspec.msgpack.encode(got)
@@ -190,7 +190,9 @@
             ClassId(f"class-{rng.randrange(3)}"),
             OrgId(f"org-{rng.randrange(10)}"),
         )
-        observe(box.evidence, box.me.incarnation, Millis(now), cell, Counts(runs=1))
+        observe(
+            box.evidence, box.identity.incarnation, Millis(now), cell, Counts(runs=1)
+        )
         org = OrgId(f"org-{rng.randrange(10)}")
         admit(box.usage, org, Limits(), 6, Millis(now), Millis(now))
         box.usage.own[org].running = 1
@@ -310,7 +312,7 @@
     points = []
     for size in (300, 1_000, 3_000, 10_000):
         me = Identity(BoxId("a"), DomainId("d"), "a:1", Incarnation("a.1"))
-        fleet = Fleet(me=me)
+        fleet = Fleet(identity=me)
         for number in range(size):
             name = WorkerId(f"i-{number:010x}")
             fleet.workers.rows[name] = WorkerRow(
--- a/bench/world.py
+++ b/bench/world.py
@@ -180,11 +180,11 @@
         asker, asked = self.boxes[one].state, self.boxes[other].state
         asker.heartbeat += 1
         now = Millis(self.now)
-        told: Exchange = tell(asker, asked.me.incarnation, now, self.rng)
+        told: Exchange = tell(asker, asked.identity.incarnation, now, self.rng)
         told = over_the_wire(told, Exchange)
         got = answer(asked, told, now, now, self.rng)
         got = over_the_wire(got, ExchangeAnswer)
-        self.wire.append(Message(one, got, self.now, asker.me.incarnation))
+        self.wire.append(Message(one, got, self.now, asker.identity.incarnation))
 
     def deliver(self, index: int = 0) -> None:
         """Deliver an answer that is under way, any of them."""
@@ -192,7 +192,7 @@
             return
         message = self.wire.pop(index % len(self.wire))
         box = self.boxes[message.to]
-        if box.paused or box.state.me.incarnation != message.run:
+        if box.paused or box.state.identity.incarnation != message.run:
             return
         now = Millis(self.now)
         hear_answer(box.state, message.got, Millis(message.sent), now, now)
@@ -248,7 +248,7 @@
             return
         request = self._new_request()
         table.own[request] = OwnCall(key)
-        claim = Claim(key, one.state.me.incarnation, request, Millis(self.now))
+        claim = Claim(key, one.state.identity.incarnation, request, Millis(self.now))
         one.waiting[key] = request
         if not self._reaches_log(box) or fate == "refused":
             self._give_up(one, key)
@@ -281,10 +281,12 @@
         for entry in state.journal.open.values():
             holders = self.answered.get(entry.request)
             if holders is not None:
-                holders.discard(state.me.incarnation)
+                holders.discard(state.identity.incarnation)
         for copies in state.journal.copies.values():
             for entry in copies.entries.values():
-                self.answered.get(entry.request, set()).discard(state.me.incarnation)
+                self.answered.get(entry.request, set()).discard(
+                    state.identity.incarnation
+                )
         self.boxes[box] = self._new_box(box)
         self._count("crashes")
 
@@ -360,20 +362,20 @@
         now = Millis(self.now)
         live = {row.box for row in live_members(state, now, SUSPECT_MS)}
         targets = sorted(live)[:COPIES]
-        holders = {str(state.me.incarnation)}
+        holders = {str(state.identity.incarnation)}
         for name in targets:
             other = self.boxes[name]
             if self._reaches(box, name):
                 take_copies(
                     other.state.journal,
-                    state.me.incarnation,
+                    state.identity.incarnation,
                     (entry,),
                     first_open(state.journal),
                     now,
                 )
-                holders.add(other.state.me.incarnation)
+                holders.add(other.state.identity.incarnation)
         if len(holders) <= len(targets) or not targets:
-            part = Bills((JournalPart(state.me.incarnation, (entry,)),))
+            part = Bills((JournalPart(state.identity.incarnation, (entry,)),))
             if not self._reaches_log(box):
                 return
             self.log.append("bills", part, self.now, "ok")
--- a/bench/world_checks.py
+++ b/bench/world_checks.py
@@ -26,7 +26,7 @@
     for item in accepted:
         if now - item.at <= FRESH_MS:
             continue
-        detail = f"{state.me.box} works at {state.config.next_offset}"
+        detail = f"{state.identity.box} works at {state.config.next_offset}"
         check(
             IN_FORCE,
             state.config.next_offset > item.offset,
--- a/src/spanshunt/api_replies.py
+++ b/src/spanshunt/api_replies.py
@@ -30,7 +30,7 @@
         """Give a refusal of the system's own."""
         self.response = refusal_response(refusal, self._request)
 
-    async def break_off(self, refusal: Refusal) -> None:
+    async def end_incomplete(self, refusal: Refusal) -> None:
         """End a stream with an event that says what became of the request."""
         assert self.response is not None
         try:
--- a/src/spanshunt/appender.py
+++ b/src/spanshunt/appender.py
@@ -101,7 +101,7 @@
     def window(self, stream: Stream) -> float:
         """Return how long a batch of `stream` is gathered, in seconds."""
         domains = {row.domain for row in self._state.members.rows.values()}
-        domains.add(self._state.me.domain)
+        domains.add(self._state.identity.domain)
         part = _MERGED[stream] * self._parts.settings.platform.appends_per_s
         shortest = len(domains) / part
         if stream is Stream.BILLS:
@@ -115,11 +115,15 @@
         near = {
             row.box: row.address
             for row in live_members(state, now, self._parts.settings.timing.suspect_ms)
-            if row.domain == state.me.domain and not row.stopping
+            if row.domain == state.identity.domain and not row.stopping
         }
-        names = [*near, state.me.box]
-        first = rendezvous(f"gatherer/{state.me.domain}", names, 1)[0]
-        return None if first == state.me.box else near[type(state.me.box)(first)]
+        names = [*near, state.identity.box]
+        first = rendezvous(f"gatherer/{state.identity.domain}", names, 1)[0]
+        return (
+            None
+            if first == state.identity.box
+            else near[type(state.identity.box)(first)]
+        )
 
     async def _join(self, stream: Stream, record: Bills | Claims) -> AppendPartReply:
         fut: asyncio.Future[AppendPartReply] = (
--- a/src/spanshunt/attempt_outcomes.py
+++ b/src/spanshunt/attempt_outcomes.py
@@ -94,7 +94,7 @@
     if state.admitted.route.kind is RequestKind.STREAM:
         return
     fleet, now = core.fleet, core.clock.now()
-    note_silence(fleet, Silence(attempt.worker.name, fleet.me.box, now), now)
+    note_silence(fleet, Silence(attempt.worker.name, fleet.identity.box, now), now)
 
 
 def _report_unreached(core: Core, attempt: CatalogAttempt) -> None:
@@ -104,7 +104,7 @@
     """
     fleet, now = core.fleet, core.clock.now()
     if any(row.last_byte_at >= attempt.sent for row in fleet.workers.rows.values()):
-        note_silence(fleet, Silence(attempt.worker.name, fleet.me.box, now), now)
+        note_silence(fleet, Silence(attempt.worker.name, fleet.identity.box, now), now)
         core.tell_now()
 
 
--- a/src/spanshunt/bill_keeper.py
+++ b/src/spanshunt/bill_keeper.py
@@ -251,12 +251,12 @@
         Each in a domain of its own, as long as there are enough.
         """
         rows = {row.box: row for row in self._live()}
-        order = rendezvous(self._state.me.incarnation, rows, len(rows))
+        order = rendezvous(self._state.identity.incarnation, rows, len(rows))
         taken: list[MemberRow] = []
-        domains: set[DomainId] = {self._state.me.domain}
+        domains: set[DomainId] = {self._state.identity.domain}
         spare = []
         for name in order:
-            row = rows[type(self._state.me.box)(name)]
+            row = rows[type(self._state.identity.box)(name)]
             if row.domain in domains:
                 spare.append(row)
             else:
--- a/src/spanshunt/catalog_calls.py
+++ b/src/spanshunt/catalog_calls.py
@@ -309,7 +309,7 @@
         await relay_stream(core, state, attempt, found, reply)
     else:
         body = await found.read()
-        await reply.whole(found.status, found.headers, body)
+        await reply.send_whole(found.status, found.headers, body)
     note_good(core, state, attempt, first_ms)
     return Ending.DELIVERED
 
--- a/src/spanshunt/catalog_fetcher.py
+++ b/src/spanshunt/catalog_fetcher.py
@@ -130,7 +130,7 @@
             untried = ahead
         recent = self._clock.now() - HEARD_MS
         heard = [row for row in untried if row.heard >= recent] or untried
-        near = [row for row in heard if row.domain == fleet.me.domain]
+        near = [row for row in heard if row.domain == fleet.identity.domain]
         drawn = near or heard
         return self._rng.choice(drawn) if drawn else None
 
@@ -140,7 +140,7 @@
         mine = fleet.catalog_version
         began = self._clock.now()
         self._tried.add(peer.box)
-        told = await self._ask(peer, CatalogAsk(fleet.me.box, mine))
+        told = await self._ask(peer, CatalogAsk(fleet.identity.box, mine))
         if isinstance(told, Err):
             self._note_failed(peer, told.err_value.detail)
             return False
--- a/src/spanshunt/chat_answers.py
+++ b/src/spanshunt/chat_answers.py
@@ -122,7 +122,7 @@
         rate(router, state, attempt, text_of_whole(body))
     headers = await _headers(router, state, attempt)
     headers["Content-Type"] = "application/json"
-    await reply.whole(200, headers, body)
+    await reply.send_whole(200, headers, body)
     return Ending.DELIVERED
 
 
--- a/src/spanshunt/claimer.py
+++ b/src/spanshunt/claimer.py
@@ -94,7 +94,9 @@
         if held is not None:
             return await self._repeat(held)
         table.own[request] = OwnCall(digest)
-        claim = Claim(digest, self._state.me.incarnation, request, self._clock.wall())
+        claim = Claim(
+            digest, self._state.identity.incarnation, request, self._clock.wall()
+        )
         outcome = await self._appender.append_merged(Stream.CLAIMS, Claims((claim,)))
         match outcome:
             case Err(fault) if fault.fault is Fault.NOT_DONE:
@@ -137,7 +139,7 @@
     def status(self, ask: CallStatusRequest) -> CallStatusReply:
         """Answer a peer's question about a call claimed here."""
         own = self._state.claims.own.get(ask.request)
-        if ask.holder != self._state.me.incarnation or own is None:
+        if ask.holder != self._state.identity.incarnation or own is None:
             return CallStatusReply()
         return CallStatusReply(own.state, own.answer)
 
@@ -181,7 +183,7 @@
 
     async def _ask(self, request: RequestId, holder: Incarnation) -> CallStatusReply:
         ask = CallStatusRequest(request, holder)
-        if holder == self._state.me.incarnation:
+        if holder == self._state.identity.incarnation:
             return self.status(ask)
         for row in self._state.members.rows.values():
             if row.incarnation == holder:
--- a/src/spanshunt/duties.py
+++ b/src/spanshunt/duties.py
@@ -63,7 +63,7 @@
             state.config,
             state.evidence,
             state.suspended,
-            state.me.box,
+            state.identity.box,
             self._clock.wall(),
         ):
             if step.verdict is StepVerdict.PULL_BACK:
--- a/src/spanshunt/exchange.py
+++ b/src/spanshunt/exchange.py
@@ -198,10 +198,10 @@
             and asker.workers_end < fleet.workers_end
         )
         return News(
-            box=fleet.me.box,
-            address=fleet.me.address,
-            domain=fleet.me.domain,
-            incarnation=fleet.me.incarnation,
+            box=fleet.identity.box,
+            address=fleet.identity.address,
+            domain=fleet.identity.domain,
+            incarnation=fleet.identity.incarnation,
             catalog_version=fleet.catalog_version,
             workers_end=fleet.workers_end,
             workers_age_ms=max(0, now - fleet.workers_read_at),
@@ -220,7 +220,9 @@
             ),
             kept_digest=kept_digest(fleet),
             kept_known=fleet.quarantine_known,
-            followers=named_followers(fleet, now) if domain == fleet.me.domain else (),
+            followers=named_followers(fleet, now)
+            if domain == fleet.identity.domain
+            else (),
             limits=limits_news(fleet, now),
             leavings=leavings_news(fleet, now),
             evacuations=evacuations_news(fleet),
@@ -246,7 +248,7 @@
     def _names_for(self, asker: News) -> tuple[PeerNews, ...]:
         """Return some boxes to tell an asker of; many if it knows few of them."""
         peers = list(self._fleet.peers.values())
-        near = asker.domain == self._fleet.me.domain
+        near = asker.domain == self._fleet.identity.domain
         new = near and 2 * asker.boxes < len(peers)
         most = NEWCOMER_TOLD if new else PEERS_TOLD
         told = self._rng.sample(peers, min(most, len(peers)))
@@ -259,7 +261,7 @@
         """
         now = self._clock.now()
         fleet = self._fleet
-        if news.box == fleet.me.box:
+        if news.box == fleet.identity.box:
             return
         fleet.wake_hold_until = Millis(0)
         if take_era(fleet, news.store_era, now):
@@ -358,14 +360,14 @@
             waiting=news.settings_waiting,
         )
         for item in news.peers:
-            if item.box != self._fleet.me.box and item.box not in peers:
+            if item.box != self._fleet.identity.box and item.box not in peers:
                 peers[item.box] = PeerRow(item.box, item.address, item.domain)
 
     def _take_silence(self, news: News, told: SilenceNews, now: Millis) -> None:
         fleet, worker = self._fleet, told.worker
         silence = Silence(worker, told.box, Millis(now - told.age_ms))
         known = is_silent(fleet, worker, now)
-        if told.box == fleet.me.box or not note_silence(fleet, silence, now):
+        if told.box == fleet.identity.box or not note_silence(fleet, silence, now):
             return
         if not known and is_silent(fleet, worker, now):
             log_event(
@@ -412,13 +414,13 @@
         fleet, now = self._fleet, self._clock.now()
         peers = list(fleet.peers.values())
         if not any(peer.heard >= 0 for peer in peers):
-            known = {peer.address for peer in peers} | {fleet.me.address}
+            known = {peer.address for peer in peers} | {fleet.identity.address}
             unknown = [seed for seed in self._seeds if seed not in known]
             return unknown + [peer.address for peer in peers][:PEERS_TOLD]
         ready = [peer for peer in peers if _is_due(peer, now)]
         reader = reader_of(fleet, now)
-        near = [peer for peer in ready if peer.domain == fleet.me.domain]
-        far = [peer for peer in ready if peer.domain != fleet.me.domain]
+        near = [peer for peer in ready if peer.domain == fleet.identity.domain]
+        far = [peer for peer in ready if peer.domain != fleet.identity.domain]
         # One before the reader by name is it, if it lives: a box that starts finds the
         # same one as the others of its domain within a round or two. One that did not
         # answer is not asked for this again: each round waits for all that it asks.
@@ -427,7 +429,7 @@
         asked += [peer for peer in near if peer.box == reader]
         asked += self._near.draw(near, NEAR_ASKED, now)
         # All of its domain ask the reader: what it hears from others they know at once.
-        if reader == fleet.me.box or self._rng.random() * len(near) < FAR_CALLERS:
+        if reader == fleet.identity.box or self._rng.random() * len(near) < FAR_CALLERS:
             asked += self._far.draw(far, FAR_ASKED, now)
         kept = {peer.box for peer in asked} | self._near.boxes | self._far.boxes
         self._talks.keep({fleet.peers[box].address for box in kept})
--- a/src/spanshunt/fleet_report.py
+++ b/src/spanshunt/fleet_report.py
@@ -196,9 +196,9 @@
     """Return what a box believes now; `not_ready` is empty if it is ready."""
     catalog = fleet.catalog
     return FleetView(
-        box=fleet.me.box,
-        domain=fleet.me.domain,
-        incarnation=fleet.me.incarnation,
+        box=fleet.identity.box,
+        domain=fleet.identity.domain,
+        incarnation=fleet.identity.incarnation,
         ready=not_ready or "yes",
         catalog=fleet.catalog_version,
         routes=len(catalog.routes) if catalog else 0,
--- a/src/spanshunt/forwarding.py
+++ b/src/spanshunt/forwarding.py
@@ -238,8 +238,8 @@
         state.trouble = f"turned away with status {found.status}"
         return Ending.NOT_RUN
     try:
-        if found.flaw:
-            raise BrokenAnswerError(found.flaw)
+        if found.defect:
+            raise BrokenAnswerError(found.defect)
         return await steps.use(state, attempt, found, reply)
     except BrokenAnswerError as exc:
         state.trouble = str(exc)
--- a/src/spanshunt/gossiper.py
+++ b/src/spanshunt/gossiper.py
@@ -77,7 +77,7 @@
         others = [
             seed
             for seed in self._parts.settings.seeds
-            if seed != self._state.me.address
+            if seed != self._state.identity.address
         ]
         if others:
             await self._exchange(self._rng.choice(others), Incarnation(""))
@@ -90,7 +90,7 @@
 
     def meet(self, box: BoxId, domain: DomainId, address: str) -> None:
         """Note a peer that the platform lists and that was not heard of yet."""
-        if box not in self._state.members.rows and box != self._state.me.box:
+        if box not in self._state.members.rows and box != self._state.identity.box:
             self._state.members.rows[box] = MemberRow(
                 box=box,
                 domain=domain,
--- a/src/spanshunt/http_replies.py
+++ b/src/spanshunt/http_replies.py
@@ -27,7 +27,9 @@
         self.response: web.StreamResponse | None = None
         self._req = req
 
-    async def whole(self, status: int, headers: CIMultiDict[str], body: bytes) -> None:
+    async def send_whole(
+        self, status: int, headers: CIMultiDict[str], body: bytes
+    ) -> None:
         """Give a whole answer."""
         self.response = web.Response(status=status, headers=headers, body=body)
         self._before_head(self.response)
--- a/src/spanshunt/http_sends.py
+++ b/src/spanshunt/http_sends.py
@@ -99,7 +99,7 @@
         self.headers = headers
         self.not_run = False
         self.replaced = False
-        self.flaw = ""
+        self.defect = ""
         self.confidence: float | None = None
         self.load: Load | None = None
         self.notice = Notice()
--- a/src/spanshunt/observations.py
+++ b/src/spanshunt/observations.py
@@ -73,7 +73,7 @@
     router: Router, state: ChatRequest, attempt: ChatAttempt, seen: Counts
 ) -> None:
     """Count what was seen for the version, and by how sure its engine was."""
-    evidence, origin = router.state.evidence, router.state.me.incarnation
+    evidence, origin = router.state.evidence, router.state.identity.incarnation
     for cell in _cells(state, attempt):
         observe(evidence, origin, router.clock.wall(), cell, seen)
 
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -131,7 +131,7 @@
 def _groups(
     fleet: Fleet, row: RolloutRow, epochs: set[int], hearer: DomainId | None
 ) -> list[TallyGroup]:
-    me = fleet.me
+    me = fleet.identity
     groups = []
     if hearer in (None, me.domain):
         groups.append(_group(me.domain, me.incarnation, row.own, epochs))
@@ -202,7 +202,7 @@
 
     Counts only rise, so the greatest told is the newest, in whatever order it comes.
     """
-    me = fleet.me
+    me = fleet.identity
     near = group.domain == me.domain
     if near != bool(group.box) or group.box == me.incarnation:
         return
--- a/src/spanshunt/plain_calls.py
+++ b/src/spanshunt/plain_calls.py
@@ -179,7 +179,7 @@
     headers = CIMultiDict({"Spanshunt-Repeated": "true"})
     if answer.content_type:
         headers["Content-Type"] = answer.content_type
-    await reply.whole(answer.status, headers, answer.body)
+    await reply.send_whole(answer.status, headers, answer.body)
 
 
 def _plan(router: Router, state: PlainRequest) -> Result[Attempt, Refusal]:
@@ -243,7 +243,7 @@
         content_type = found.headers.get("Content-Type", "")
         answer = CallAnswer(found.status, content_type, body)
         router.claimer.mark_done(state.request, answer)
-    await reply.whole(found.status, found.headers, body)
+    await reply.send_whole(found.status, found.headers, body)
     return Ending.DELIVERED
 
 
--- a/src/spanshunt/planning.py
+++ b/src/spanshunt/planning.py
@@ -211,7 +211,7 @@
     return Wanted(
         service=state.service,
         rule=rule,
-        domain=fleet.me.domain,
+        domain=fleet.identity.domain,
         effort=_effort(state, service, model),
         target_latency_ms=route.target_latency_ms,
         avoid=state.tried,
--- a/src/spanshunt/platform/box_list.py
+++ b/src/spanshunt/platform/box_list.py
@@ -82,7 +82,7 @@
 
     async def _tell_place(self) -> None:
         """Write where this box is; a failure is tried again at the next look."""
-        me = self._fleet.me
+        me = self._fleet.identity
         place = f"{me.address} {me.domain}".encode()
         done = await self._reader.store.append(wire.BOXES_TOPIC, me.box, place)
         if isinstance(done, Err):
@@ -98,6 +98,6 @@
         for item in listing.items:
             box = BoxId(item.key_file)
             address, _, domain = item.content().decode().partition(" ")
-            if box != fleet.me.box and box not in fleet.peers:
+            if box != fleet.identity.box and box not in fleet.peers:
                 fleet.peers[box] = PeerRow(box, address, DomainId(domain))
                 log_event("INFO", "peer listed", peer=box, address=address)
--- a/src/spanshunt/platform/front.py
+++ b/src/spanshunt/platform/front.py
@@ -53,9 +53,9 @@
         )
         if refusal.retry_ms is not None:
             headers[wire.RETRY_AFTER] = f"{refusal.retry_ms / 1_000:.3f}"
-        await self.whole(refusal.problem.status, headers, refusal.detail.encode())
+        await self.send_whole(refusal.problem.status, headers, refusal.detail.encode())
 
-    async def break_off(self, _refusal: Refusal) -> None:
+    async def end_incomplete(self, _refusal: Refusal) -> None:
         """End the connection without the mark that completes a stream."""
         self.abort()
 
--- a/src/spanshunt/platform/node.py
+++ b/src/spanshunt/platform/node.py
@@ -218,7 +218,7 @@
             version=__version__,
             domain=self.settings.domain,
             callers=listen.callers,
-            incarnation=self.fleet.me.incarnation,
+            incarnation=self.fleet.identity.incarnation,
             settings=self.fleet.settings.digest,
             catalog=self.fleet.catalog.version if self.fleet.catalog else None,
         )
@@ -381,7 +381,7 @@
     """Return the tables of a box that starts, with what its settings tell."""
     box = BoxId(settings.box)
     fleet = Fleet(
-        me=Identity(
+        identity=Identity(
             box=box,
             domain=DomainId(settings.domain),
             address=settings.listen.advertised or settings.listen.peers,
--- a/src/spanshunt/platform/workers.py
+++ b/src/spanshunt/platform/workers.py
@@ -80,7 +80,7 @@
         self.replaced = resp.status == 421
         self.confidence = _sureness(resp.headers.get(wire.SURENESS))
         self.load = _load(resp.headers.get(wire.LOAD))
-        self.flaw = _flaw(resp, request)
+        self.defect = _flaw(resp, request)
         self.notice = _notice(resp)
 
 
--- a/src/spanshunt/ports.py
+++ b/src/spanshunt/ports.py
@@ -155,7 +155,7 @@
         Whether the worker states that it did not run the request.
     replaced : bool
         Whether another worker uses this address now.
-    flaw : str
+    defect : str
         Why this is not a valid answer to the request; empty if it is valid.
     confidence : float or None
         Confidence of the model in its answer, in 0 to 1.
@@ -169,7 +169,7 @@
     headers: CIMultiDict[str]
     not_run: bool
     replaced: bool
-    flaw: str
+    defect: str
     confidence: float | None
     load: Load | None
     notice: Notice
@@ -198,7 +198,9 @@
     async def refuse(self, refusal: Refusal) -> None:
         """Send a refusal by the system itself."""
 
-    async def whole(self, status: int, headers: CIMultiDict[str], body: bytes) -> None:
+    async def send_whole(
+        self, status: int, headers: CIMultiDict[str], body: bytes
+    ) -> None:
         """Send a worker's complete answer."""
 
     async def begin(self, status: int, headers: CIMultiDict[str]) -> None:
@@ -210,7 +212,7 @@
     async def end(self) -> None:
         """End a stream as complete."""
 
-    async def break_off(self, refusal: Refusal) -> None:
+    async def end_incomplete(self, refusal: Refusal) -> None:
         """End an unfinished stream in a way that the caller sees it is incomplete."""
 
     def abort(self) -> None:
--- a/src/spanshunt/ratings.py
+++ b/src/spanshunt/ratings.py
@@ -46,7 +46,7 @@
         case Ok(rating):
             seen = Counts(rated=1, good=int(rating.score >= GOOD_SCORE))
             state = router.state
-            origin = state.me.incarnation
+            origin = state.identity.incarnation
             for cell in cells:
                 observe(state.evidence, origin, router.clock.wall(), cell, seen)
         case Err(fault):
--- a/src/spanshunt/reports.py
+++ b/src/spanshunt/reports.py
@@ -154,9 +154,9 @@
     state = router.state
     reason = router.why_not_ready()
     return StatusReport(
-        box=state.me.box,
-        domain=state.me.domain,
-        incarnation=state.me.incarnation,
+        box=state.identity.box,
+        domain=state.identity.domain,
+        incarnation=state.identity.incarnation,
         ready=not reason,
         reason=reason,
         offset=state.config.next_offset,
--- a/src/spanshunt/settling.py
+++ b/src/spanshunt/settling.py
@@ -42,11 +42,11 @@
     """Give the final answer of a request that no worker served, at once."""
     final = _final_refusal(state, refusal, retry_ms)
     if reply.begun:
-        await reply.break_off(final)
+        await reply.end_incomplete(final)
         return Settled("cut", state.trouble)
     if state.failure is not None and final.problem is not Problem.KEPT_BACK:
         failure = state.failure
-        await reply.whole(failure.status, failure.headers, failure.body)
+        await reply.send_whole(failure.status, failure.headers, failure.body)
         return Settled("worker_failure", status=failure.status)
     await reply.refuse(final)
     return Settled(final.problem.slug, final.detail)
@@ -61,7 +61,7 @@
         detail = "no worker took the request in time"
         final = Refusal(Problem.OVERLOADED, detail, Run.NO, retry_ms)
     if reply.begun:
-        await reply.break_off(final)
+        await reply.end_incomplete(final)
         return Settled("cut_at_limit")
     await reply.refuse(final)
     return Settled(final.problem.slug, detail)
--- a/src/spanshunt/systems/fleet_size.py
+++ b/src/spanshunt/systems/fleet_size.py
@@ -23,7 +23,7 @@
     Boxes that know all of the others take turns that are equally far apart, in an order
     that differs from key to key. One that does not know them all draws its own.
     """
-    me = fleet.me.box
+    me = fleet.identity.box
     names: list[BoxId] = [me, *fleet.peers]
     if len(names) < box_count(fleet):
         return unit_hash("turn", key, me)
--- a/src/spanshunt/systems/following_workers.py
+++ b/src/spanshunt/systems/following_workers.py
@@ -332,8 +332,8 @@
     near = _near_heard(fleet, now)
     first = fleet.peers.get(near[0])
     if first is not None and first.followers:
-        return fleet.me.box in first.followers
-    return fleet.me.box in near[:OPERATOR_FOLLOWERS]
+        return fleet.identity.box in first.followers
+    return fleet.identity.box in near[:OPERATOR_FOLLOWERS]
 
 
 def named_followers(fleet: Fleet, now: Millis) -> tuple[BoxId, ...]:
@@ -342,7 +342,7 @@
     It is while it is the first by name itself; else nobody is named.
     """
     near = _near_heard(fleet, now)
-    if near[0] != fleet.me.box:
+    if near[0] != fleet.identity.box:
         return ()
     return tuple(near[:OPERATOR_FOLLOWERS])
 
@@ -357,11 +357,11 @@
     near = [
         peer.box
         for peer in fleet.peers.values()
-        if peer.domain == fleet.me.domain
+        if peer.domain == fleet.identity.domain
         and 0 <= peer.heard > now - HEARD_MS
         and (peer.served or not served)
     ]
-    return sorted([*near, fleet.me.box])
+    return sorted([*near, fleet.identity.box])
 
 
 def is_served(fleet: Fleet, now: Millis) -> bool:
@@ -372,7 +372,7 @@
 
 def must_read(fleet: Fleet, now: Millis, draining_ms: int) -> bool:
     """Tell whether this box reads the list itself now."""
-    if fleet.workers_read_at < 0 or reader_of(fleet, now) == fleet.me.box:
+    if fleet.workers_read_at < 0 or reader_of(fleet, now) == fleet.identity.box:
         return True
     if now - fleet.workers_read_at <= OLD_PART * draining_ms:
         return False
--- a/src/spanshunt/systems/freshness.py
+++ b/src/spanshunt/systems/freshness.py
@@ -65,7 +65,7 @@
     This box counts as having answered now. Only witnesses count.
     """
     members = state.members
-    if state.me.box not in members.listed or not may_witness(state):
+    if state.identity.box not in members.listed or not may_witness(state):
         return NEVER
     times = [
         row.witnessed_at
@@ -94,7 +94,7 @@
         and row.answered_at != NEVER
         and now - row.answered_at <= ACK_MS
     )
-    own = state.me.box in members.listed and state.config.next_offset > offset
+    own = state.identity.box in members.listed and state.config.next_offset > offset
     return others + int(own)
 
 
--- a/src/spanshunt/systems/gossip.py
+++ b/src/spanshunt/systems/gossip.py
@@ -51,7 +51,7 @@
     ticket = state.evidence_sent.get(to, 0)
     evidence, upto = news_since(state.evidence, ticket, EVIDENCE_A_ROUND)
     state.evidence_sent[to] = upto
-    usage = usage_rows(state.usage, state.me.incarnation)
+    usage = usage_rows(state.usage, state.identity.incarnation)
     if len(usage) > USAGE_A_ROUND:
         usage = tuple(rng.sample(usage, USAGE_A_ROUND))
     return Exchange(
@@ -83,7 +83,7 @@
         hear_member(state, row, now)
     state.workers.leaving.update(told.leaving)
     merge(state.evidence, told.evidence, wall)
-    hear_usage(state.usage, told.usage, state.me.incarnation, now)
+    hear_usage(state.usage, told.usage, state.identity.incarnation, now)
     for suspension in told.suspended:
         _hear_suspension(state, suspension, now)
 
@@ -114,10 +114,10 @@
 def own_digest(state: State) -> MemberDigest:
     """Return this box's own row."""
     return MemberDigest(
-        box=state.me.box,
-        domain=state.me.domain,
-        address=state.me.address,
-        incarnation=state.me.incarnation,
+        box=state.identity.box,
+        domain=state.identity.domain,
+        address=state.identity.address,
+        incarnation=state.identity.incarnation,
         heartbeat=state.heartbeat,
         offset=state.config.next_offset,
         stopping=state.stopping,
@@ -127,7 +127,7 @@
 
 def hear_member(state: State, digest: MemberDigest, now: Millis) -> None:
     """Take in a row; its heartbeat counts only if it rose."""
-    if digest.box == state.me.box:
+    if digest.box == state.identity.box:
         return
     row = state.members.rows.get(digest.box)
     if row is None or row.incarnation != digest.incarnation:
@@ -163,8 +163,8 @@
     live = [row for row in rows if now - row.heard <= suspect_ms]
     if not live or rng.random() < 0.1:
         return rng.choice(rows)
-    near = [row for row in live if row.domain == state.me.domain]
-    far = [row for row in live if row.domain != state.me.domain]
+    near = [row for row in live if row.domain == state.identity.domain]
+    far = [row for row in live if row.domain != state.identity.domain]
     first, second = (near, far) if rng.random() < 0.5 else (far, near)
     return rng.choice(first or second)
 
@@ -197,8 +197,8 @@
 
 def _sample(state: State, now: Millis, rng: random.Random) -> tuple[MemberDigest, ...]:
     rows = list(state.members.rows.values())
-    near = [row for row in rows if row.domain == state.me.domain]
-    far = [row for row in rows if row.domain != state.me.domain]
+    near = [row for row in rows if row.domain == state.identity.domain]
+    far = [row for row in rows if row.domain != state.identity.domain]
     half = MEMBERS_A_ROUND // 2
     drawn = rng.sample(near, min(len(near), MEMBERS_A_ROUND - min(half, len(far))))
     drawn += rng.sample(far, min(len(far), MEMBERS_A_ROUND - len(drawn)))
@@ -259,5 +259,5 @@
     duty shared out like this must bear being done twice.
     """
     live = [row.box for row in live_members(state, now, suspect_ms)]
-    order = rendezvous(duty, [*live, state.me.box], len(live) + 1)
-    return order.index(state.me.box)
+    order = rendezvous(duty, [*live, state.identity.box], len(live) + 1)
+    return order.index(state.identity.box)
--- a/src/spanshunt/systems/judging.py
+++ b/src/spanshunt/systems/judging.py
@@ -101,7 +101,7 @@
     Boxes that are heard take turns in the order of their names, so that usually one
     writes; the store's condition decides where two do.
     """
-    before = sum(box < fleet.me.box for box in heard_peers(fleet, now))
+    before = sum(box < fleet.identity.box for box in heard_peers(fleet, now))
     return Millis(before * WRITER_STEP_MS)
 
 
--- a/src/spanshunt/systems/learning.py
+++ b/src/spanshunt/systems/learning.py
@@ -108,7 +108,7 @@
     found: list[EpochCounts] = []
     upto = evidence.next_change
     recent = []
-    for key, changed in reversed(evidence.change_numbers.items()):
+    for key, changed in reversed(evidence.changed.items()):
         if changed < ticket:
             break
         recent.append((key, changed))
@@ -136,7 +136,7 @@
     oldest = epoch_of(wall) - EPOCHS
     for key in [key for key in evidence.rows if key.epoch <= oldest]:
         gone = evidence.rows.pop(key)
-        del evidence.change_numbers[key]
+        del evidence.changed[key]
         evidence.by_version[key.cell.version].discard(key)
         _take_from_pool(evidence.pool, key.cell, gone)
 
@@ -209,8 +209,8 @@
 
 
 def _touch(evidence: Evidence, key: EvidenceKey) -> None:
-    evidence.change_numbers.pop(key, None)
-    evidence.change_numbers[key] = evidence.next_change
+    evidence.changed.pop(key, None)
+    evidence.changed[key] = evidence.next_change
     evidence.next_change += 1
 
 
--- a/src/spanshunt/systems/proving.py
+++ b/src/spanshunt/systems/proving.py
@@ -33,12 +33,12 @@
 def prove_catalog(fleet: Fleet, at: Millis, end: Offset) -> None:
     """Take in that this box read all records up to `end`, beginning at `at`."""
     if at > fleet.catalog_proof.at:
-        fleet.catalog_proof = CatalogProof(at, end, fleet.me.box)
+        fleet.catalog_proof = CatalogProof(at, end, fleet.identity.box)
 
 
 def take_told_proof(fleet: Fleet, version: int, told: CatalogProof) -> None:
     """Take in a peer's proof for a catalog's version, if this box has that one."""
-    if told.source < fleet.me.box:
+    if told.source < fleet.identity.box:
         fleet.earlier_proof_at = max(fleet.earlier_proof_at, told.at)
     if version == fleet.catalog_version and told.at > fleet.catalog_proof.at:
         fleet.catalog_proof = told
@@ -71,7 +71,7 @@
     if proved >= 0 and now - proved < READER_PART * in_force_ms:
         return False
     return is_served(fleet, now) and all(
-        fleet.me.box < peer.box
+        fleet.identity.box < peer.box
         for peer in fleet.peers.values()
         if 0 <= peer.heard > now - HEARD_MS and peer.served
     )
@@ -92,6 +92,6 @@
 def _part(fleet: Fleet, now: Millis, in_force_ms: int) -> float:
     if is_first(fleet, now, in_force_ms):
         return FIRST_PART
-    if reader_of(fleet, now) == fleet.me.box:
+    if reader_of(fleet, now) == fleet.identity.box:
         return READER_PART
     return OWN_PART
--- a/src/spanshunt/systems/quarantining.py
+++ b/src/spanshunt/systems/quarantining.py
@@ -171,15 +171,15 @@
 
 
 def _tries(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
-    boxes = [fleet.me.box, *heard_peers(fleet, now)]
-    return rendezvous(row.fingerprint, boxes, 1)[0] == fleet.me.box
+    boxes = [fleet.identity.box, *heard_peers(fleet, now)]
+    return rendezvous(row.fingerprint, boxes, 1)[0] == fleet.identity.box
 
 
 def newly_kept(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
     """Judge a content; tell whether it is to be kept back and was not before."""
     if not is_kept_back(row):
         return False
-    row.quarantined_by = row.quarantined_by or fleet.me.box
+    row.quarantined_by = row.quarantined_by or fleet.identity.box
     new = row.quarantined_at < 0 or row.quarantined_at <= row.cleared_at
     if new:
         row.quarantined_at = now
@@ -284,7 +284,7 @@
 def _records(fleet: Fleet, row: SuspectRequest, heard: list[BoxId]) -> bool:
     if row.quarantined_by in heard:
         return False
-    return fleet.me.box in (row.quarantined_by, min([fleet.me.box, *heard]))
+    return fleet.identity.box in (row.quarantined_by, min([fleet.identity.box, *heard]))
 
 
 def forget_suspects(fleet: Fleet, now: Millis) -> None:
--- a/src/spanshunt/systems/silence.py
+++ b/src/spanshunt/systems/silence.py
@@ -76,7 +76,7 @@
     reports = fleet.silence_reports.get(worker)
     if row is None or not reports:
         return False
-    drawn = unit_hash("silence", f"{fleet.me.box}/{worker}")
+    drawn = unit_hash("silence", f"{fleet.identity.box}/{worker}")
     counts_ms = COUNTS_MS * (COUNTS_LEAST_PART + (1 - COUNTS_LEAST_PART) * drawn)
     count = sum(
         at > row.last_byte_at and now - at < counts_ms for at in reports.values()
--- a/src/spanshunt/systems/warming.py
+++ b/src/spanshunt/systems/warming.py
@@ -39,7 +39,7 @@
     boxes = box_count(fleet)
     if not may_be_alone(fleet, now):
         return False
-    if unit_hash("cold", row.name, fleet.me.box) >= rate / boxes:
+    if unit_hash("cold", row.name, fleet.identity.box) >= rate / boxes:
         return False
     pace_ms = PACE_MS * min(1.0, boxes / rate)
     return row.cold_sent_at < 0 or now >= row.cold_sent_at + pace_ms
--- a/src/spanshunt/tables/evidence.py
+++ b/src/spanshunt/tables/evidence.py
@@ -142,7 +142,7 @@
         Sums of the counts, updated with each change.
     by_version : dict
         Keys of the rows by version.
-    change_numbers : dict
+    changed : dict
         Number of the last change by row, in ascending order.
     next_change : int
         Number of the next change.
@@ -151,5 +151,5 @@
     rows: dict[EvidenceKey, Counts] = {}
     pool: Pool = msgspec.field(default_factory=Pool)
     by_version: dict[VersionId, set[EvidenceKey]] = {}
-    change_numbers: dict[EvidenceKey, int] = {}
+    changed: dict[EvidenceKey, int] = {}
     next_change: int = 0
--- a/src/spanshunt/tables/fleet.py
+++ b/src/spanshunt/tables/fleet.py
@@ -204,7 +204,7 @@
 
     Attributes
     ----------
-    me : Identity
+    identity : Identity
         Identity of this box.
     settings : SettingsRow
         Settings in force at this box.
@@ -290,7 +290,7 @@
         Whether a planned stop is in progress.
     """
 
-    me: Identity
+    identity: Identity
     settings: SettingsRow = msgspec.field(default_factory=SettingsRow)
     catalog: Catalog | None = None
     catalog_packed: bytes = b""
--- a/src/spanshunt/tables/state.py
+++ b/src/spanshunt/tables/state.py
@@ -50,7 +50,7 @@
 
     Attributes
     ----------
-    me : Identity
+    identity : Identity
         Identity of this daemon.
     recent_records : deque of LogRecord
         The configuration records that were folded last.
@@ -69,7 +69,7 @@
         not sent to it.
     """
 
-    me: Identity
+    identity: Identity
     journal: Journal
     config: Config = msgspec.field(default_factory=Config)
     workers: Workers = msgspec.field(default_factory=Workers)
@@ -90,6 +90,6 @@
     evidence_sent: dict[Incarnation, int] = {}
 
 
-def new_state(me: Identity, now: Millis) -> State:
+def new_state(identity: Identity, now: Millis) -> State:
     """Return empty tables for a daemon that starts at `now`."""
-    return State(me=me, journal=Journal(me.incarnation), started=now)
+    return State(identity=identity, journal=Journal(identity.incarnation), started=now)
--- a/src/spanshunt/worker_notices.py
+++ b/src/spanshunt/worker_notices.py
@@ -40,7 +40,7 @@
     One that is another request's may be old, one that is another worker's tells nothing
     of this one.
     """
-    if found.flaw or found.replaced:
+    if found.defect or found.replaced:
         return
     for flaw in found.notice.invalid:
         _log_flaw(state, attempt.worker, flaw)
@@ -59,7 +59,7 @@
         return
     if notice.per_s is None and not is_over(worker, attempt.sent):
         return
-    limit = RateLimit(notice.per_s, core.clock.now(), core.fleet.me.box)
+    limit = RateLimit(notice.per_s, core.clock.now(), core.fleet.identity.box)
     before = worker.limit
     if take_limit(core.fleet, worker, limit, limit.at):
         core.count("worker_limits")
@@ -68,7 +68,7 @@
 
 def _note_leaving(core: Core, state: CatalogRequest, worker: WorkerRow) -> None:
     """Take in that a worker leaves, and tell peers: its entry may say so much later."""
-    word = LeavingNotice(core.clock.now(), core.fleet.me.box)
+    word = LeavingNotice(core.clock.now(), core.fleet.identity.box)
     if note_leaving(core.fleet, worker, word):
         core.count("workers_leaving")
         _log_leaving(worker, request=state.request)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -227,7 +227,7 @@
         daemon = Daemon(settings, "test", Clock())
         await daemon.start()
         self.daemons.append(daemon)
-        me = daemon.router.state.me
+        me = daemon.router.state.identity
         self._listed = [row for row in self._listed if row.name != box]
         self._listed.append(ListedBox(me.box, me.address, me.domain))
         self._list()
--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -120,7 +120,7 @@
 def make_fleet(box: str = "box-1", domain: str = "north") -> Fleet:
     """Return empty tables of a box."""
     me = Identity(BoxId(box), DomainId(domain), f"{box}:1", Incarnation(f"{box}.1"))
-    return Fleet(me=me)
+    return Fleet(identity=me)
 
 
 def make_worker(
@@ -204,7 +204,7 @@
     @property
     def seed(self) -> str:
         """Where other boxes reach it."""
-        return self.node.fleet.me.address
+        return self.node.fleet.identity.address
 
 
 class Reply(t.NamedTuple):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -66,7 +66,7 @@
         rated = good + bad
         counts = Counts(runs=rated, rated=rated, good=good)
         cell = Cell(NEW, "note", "museo")
-        observe(self.state.evidence, self.state.me.incarnation, 0, cell, counts)
+        observe(self.state.evidence, self.state.identity.incarnation, 0, cell, counts)
 
     def shut_out(self, reason: str) -> None:
         self.state.suspended[NEW] = SuspendedRow(self.rollout, 0, reason, Millis(0))
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -147,12 +147,12 @@
     """Evidence reaches every box, late or after a restart, and counts once."""
 
     def tell(self, teller: Fleet, hearer: Fleet, now: float) -> None:
-        news = rollout_news(teller, row_of(teller), ms(now), hearer.me.domain)
+        news = rollout_news(teller, row_of(teller), ms(now), hearer.identity.domain)
         for group in news.groups:
             take_group(hearer, row_of(hearer), group)
-        teller_row = PeerRow(teller.me.box, "host:1", teller.me.domain)
-        teller_row.incarnation = teller.me.incarnation
-        hearer.peers[teller.me.box] = teller_row
+        teller_row = PeerRow(teller.identity.box, "host:1", teller.identity.domain)
+        teller_row.incarnation = teller.identity.incarnation
+        hearer.peers[teller.identity.box] = teller_row
 
     def test_box_that_was_not_heard_for_long_knows_all_within_seconds(self):
         """Boxes told the newest three seconds alone: what was older was lost."""
@@ -174,8 +174,11 @@
         feed(one, "new", [0.5] * 5, 0.0, 3.0)
         self.tell(one, other, 3.0)
         again = ordered("box-1")
-        again.me = again.me.__class__(
-            again.me.box, again.me.domain, again.me.address, Incarnation("box-1.2")
+        again.identity = again.identity.__class__(
+            again.identity.box,
+            again.identity.domain,
+            again.identity.address,
+            Incarnation("box-1.2"),
         )
         self.tell(again, other, 4.0)
         self.tell(other, again, 4.0)
@@ -235,9 +238,9 @@
     def start(self, number):
         self.runs += 1
         fleet = ordered(f"box-{number}", "north" if number < 2 else "south")
-        me = fleet.me
+        me = fleet.identity
         run = Incarnation(f"{me.box}.{self.runs}")
-        fleet.me = me.__class__(me.box, me.domain, me.address, run)
+        fleet.identity = me.__class__(me.box, me.domain, me.address, run)
         return fleet
 
     @rule(box=st.integers(0, 2), worker=st.integers(0, 4), number=st.integers(1, 5))
--- a/tests/test_following_machine.py
+++ b/tests/test_following_machine.py
@@ -53,7 +53,7 @@
 
     @property
     def name(self) -> BoxId:
-        return self.fleet.me.box
+        return self.fleet.identity.box
 
     def usable(self) -> set[str]:
         workers = self.fleet.workers
@@ -75,7 +75,7 @@
         for box in self.boxes:
             for other in self.boxes:
                 if other is not box:
-                    me = other.fleet.me
+                    me = other.fleet.identity
                     row = PeerRow(me.box, me.address, DomainId(me.domain))
                     box.fleet.peers[me.box] = row
         self.entries: dict[str, bool] = {}
--- a/tests/test_leaving_words.py
+++ b/tests/test_leaving_words.py
@@ -55,7 +55,12 @@
 
 def told_by(teller: Fleet, *leavings: LeavingNews) -> News:
     return News(
-        BoxId("box-2"), "host:1", teller.me.domain, "box-2.1", 1, leavings=leavings
+        BoxId("box-2"),
+        "host:1",
+        teller.identity.domain,
+        "box-2.1",
+        1,
+        leavings=leavings,
     )
 
 
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -357,7 +357,7 @@
         )
         row.quarantined_at, row.quarantined_by, row.shared = (
             now,
-            node.fleet.me.box,
+            node.fleet.identity.box,
             True,
         )
         row.changed_at = now
@@ -374,7 +374,7 @@
     async with running_fleet() as fleet:
         kept = fleet.store.copy()
         late = await fleet.add_box()
-        name = late.node.fleet.me.box
+        name = late.node.fleet.identity.box
         topic = fleet.store.topic
         await until(lambda: name in topic("keyed.boxes").values, "its entry")
         await fleet.store.come_back(kept)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -296,8 +296,10 @@
     for fleet in boxes:
         for name in boxes:
             if name is not fleet:
-                peer = PeerRow(name.me.box, name.me.address, heard=ms(3_600))
-                fleet.peers[name.me.box] = peer
+                peer = PeerRow(
+                    name.identity.box, name.identity.address, heard=ms(3_600)
+                )
+                fleet.peers[name.identity.box] = peer
         for number in range(3):
             _end(fleet, "a", f"w-{number}", number)
         assert _kept(fleet, 3) == "a"
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -63,7 +63,7 @@
     wanted = Wanted(
         ServiceId("writer"),
         VersionRule(),
-        fleet.me.domain,
+        fleet.identity.domain,
         again=True,
         regions=(homes("here"),),
     )
--- a/tests/test_resting.py
+++ b/tests/test_resting.py
@@ -127,7 +127,7 @@
 def test_worker_keeps_both_its_limit_and_its_rest():
     fleet = make_fleet()
     row = add_worker(fleet, make_worker("w-1"))
-    row.limit = RateLimit(1_000.0, ms(1), fleet.me.box)
+    row.limit = RateLimit(1_000.0, ms(1), fleet.identity.box)
     note_rest(row, Millis(3_000), ms(1))
     wanted = Wanted(ServiceId("writer"), VersionRule(), DomainId("north"), again=True)
     assert place(fleet, wanted, ms(3.9), seeded()) is None
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -314,7 +314,7 @@
             assert f'digest="{shared_digest(node.settings)}"' in page
             others = fleet.boxes[0].node
             told = others.fleet.peers
-            await until(lambda: told[node.fleet.me.box].settings.refused, "told")
+            await until(lambda: told[node.fleet.identity.box].settings.refused, "told")
             await node.close()
 
     async def test_reloads_under_load_cut_nothing(self, tmp_path):
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -87,7 +87,7 @@
     async def ask(box: Box, path: str, key: str) -> None:
         after_s = loop.time() - acknowledged
         reply = await fleet.ask(box, path, key=key)
-        found.append(Asked(box.node.fleet.me.box, after_s, path, reply.status))
+        found.append(Asked(box.node.fleet.identity.box, after_s, path, reply.status))
 
     asks: list[asyncio.Task[None]] = []
     while loop.time() < acknowledged + WATCHED_S:
--- a/tests/test_throttling.py
+++ b/tests/test_throttling.py
@@ -54,7 +54,7 @@
     add_worker(fleet, make_worker("w-1"))
     for number in range(boxes):
         name = BoxId(f"box-{number + 1}")
-        if name != fleet.me.box:
+        if name != fleet.identity.box:
             fleet.peers[name] = PeerRow(name, "host:1")
     return fleet
 
@@ -95,7 +95,9 @@
 
 
 def told_news(fleet: Fleet, *limits: LimitNews) -> News:
-    return News(BoxId("box-2"), "host:1", fleet.me.domain, "box-2.1", 1, limits=limits)
+    return News(
+        BoxId("box-2"), "host:1", fleet.identity.domain, "box-2.1", 1, limits=limits
+    )
 
 
 def events_of(lines: list[dict[str, object]], event: str) -> list[dict[str, object]]:
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -70,6 +70,8 @@
 
 def _with_a_reader(tables: Fleet) -> Fleet:
     """Let another box of the failure domain read the list."""
-    heard = PeerRow(BoxId("a-box"), "a:1", tables.me.domain, heard=Millis(1 << 60))
+    heard = PeerRow(
+        BoxId("a-box"), "a:1", tables.identity.domain, heard=Millis(1 << 60)
+    )
     tables.peers[heard.box] = heard
     return tables
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -71,7 +71,7 @@
     fleet.cold_bounds = ColdBounds(COLD_OVER, COLD_SLACK)
     for number in range(boxes):
         name = BoxId(f"box-{number + 1}")
-        if name != fleet.me.box:
+        if name != fleet.identity.box:
             fleet.peers[name] = PeerRow(name, "host:1")
     return fleet
 
@@ -211,7 +211,7 @@
     cold = cold_worker(fleet)
     warm = add_worker(fleet, make_worker("w-2", domain="south"))
     warm.inflight = 7
-    wanted = Wanted(ServiceId("writer"), VersionRule(), fleet.me.domain)
+    wanted = Wanted(ServiceId("writer"), VersionRule(), fleet.identity.domain)
     first = place(fleet, wanted, ms(1), seeded())
     assert first is not None and first.worker is cold
     note_sent(cold, ms(1))
