--- a/bench/soak_processes.py
+++ b/bench/soak_processes.py
@@ -79,13 +79,15 @@
     ),
     "taken back": Mutation(
         "systems/ramping.py",
-        "taken_back = known.verdict is Verdict.ROLLED_BACK",
-        "taken_back = False",
+        "was_rolled_back = known.verdict is Verdict.ROLLED_BACK",
+        "was_rolled_back = False",
     ),
     "session": Mutation(
         "systems/exposing.py", "SESSIONS_FROM = 0.52", "SESSIONS_FROM = 0.0"
     ),
-    "exposed": Mutation("systems/blaming.py", "EVIDENCE = 5.0", "EVIDENCE = 1e9"),
+    "exposed": Mutation(
+        "systems/blaming.py", "EVIDENCE_THRESHOLD = 5.0", "EVIDENCE_THRESHOLD = 1e9"
+    ),
     "kept back": Mutation(
         "systems/quarantining.py", "ENDS_MOST = 3", "ENDS_MOST = 1_000"
     ),
--- a/src/spanshunt/exchange.py
+++ b/src/spanshunt/exchange.py
@@ -55,9 +55,9 @@
 from .systems.quarantining import kept_digest
 from .systems.quarantining import newly_kept
 from .systems.quarantining import take_suspect
+from .systems.ramping import apply_order
+from .systems.ramping import apply_verdict
 from .systems.ramping import bar_versions
-from .systems.ramping import take_order
-from .systems.ramping import take_verdict
 from .systems.silence import Silence
 from .systems.silence import is_silent
 from .systems.silence import newest_silences
@@ -384,7 +384,7 @@
         began = Millis(now - item.age_ms)
         order = Offset(item.order)
         duration = Millis(item.duration_ms)
-        new = take_order(
+        new = apply_order(
             fleet, item.service, item.version, order, duration, began, seen=item.seen
         )
         if new:
@@ -405,7 +405,7 @@
         if item.against is not None and stands:
             _take_against(row, item.against)
         recorded = item.recorded and stands
-        if take_verdict(row, verdict, reason, now, recorded=recorded):
+        if apply_verdict(row, verdict, reason, now, recorded=recorded):
             log_verdict(row, news.box)
         for group in item.groups:
             take_group(fleet, row, group)
--- a/src/spanshunt/fleet_report.py
+++ b/src/spanshunt/fleet_report.py
@@ -15,7 +15,7 @@
 from .systems.estimating import others_ms
 from .systems.evacuating import emptied_domains
 from .systems.evacuating import is_emptied
-from .systems.exposing import share_at
+from .systems.exposing import entering_share
 from .systems.following_workers import reader_of
 from .systems.placing import batch_load
 from .systems.proving import proof_age
@@ -24,7 +24,7 @@
 from .systems.repeats import allowance
 from .systems.resting import rest_left_ms
 from .systems.silence import is_silent
-from .systems.tallies import pooled
+from .systems.tallies import pooled_tallies
 from .systems.warming import is_cold
 from .tables.fleet import Fleet
 from .tables.fleet import PeerRow
@@ -295,7 +295,7 @@
 
 
 def _rollout(fleet: Fleet, row: RolloutRow, now: Millis) -> RolloutView:
-    routes = pooled(row).routes
+    routes = pooled_tallies(row).routes
     entering = [tally for key, tally in routes.items() if key.entering]
     return RolloutView(
         service=row.service,
@@ -303,7 +303,7 @@
         verdict=row.verdict.value,
         reason=row.reason,
         recorded=row.recorded,
-        share=round(share_at(fleet, row, now, in_session=True), 2),
+        share=round(entering_share(fleet, row, now, in_session=True), 2),
         age_ms=Millis(now - row.began),
         duration_ms=row.duration_ms,
         answers=sum(tally.answers for tally in entering),
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -8,7 +8,7 @@
 from ..systems.following_workers import ListedWorker
 from ..systems.following_workers import is_listed_leaving
 from ..systems.quarantining import told_suspects
-from ..systems.tallies import add_up
+from ..systems.tallies import sum_tallies
 from ..systems.throttling import newest_limits
 from ..tables.fleet import EvacuationRow
 from ..tables.fleet import Fleet
@@ -143,7 +143,7 @@
             if ended not in running
         ]
     if hearer != me.domain:
-        total = add_up(row.own, *row.same_domain.values())
+        total = sum_tallies(row.own, *row.same_domain.values())
         groups.append(_group(me.domain, Incarnation(""), total, epochs))
     groups += [
         _group(domain, Incarnation(""), tallies, epochs)
--- a/src/spanshunt/planning.py
+++ b/src/spanshunt/planning.py
@@ -31,7 +31,7 @@
 from .systems.quarantining import is_suspected
 from .systems.quarantining import may_be_sent
 from .systems.ramping import VersionRule
-from .systems.ramping import version_for
+from .systems.ramping import version_rule_for
 from .systems.silence import silent_workers
 from .systems.throttling import has_limits
 from .tables.catalog import RouteRow
@@ -143,7 +143,7 @@
 
 def _version_rule(core: Core, state: CatalogRequest) -> VersionRule:
     call = state.call
-    return version_for(
+    return version_rule_for(
         core.fleet,
         state.service,
         call.session,
--- a/src/spanshunt/platform/kept_back.py
+++ b/src/spanshunt/platform/kept_back.py
@@ -10,7 +10,7 @@
 from ..ids import VersionId
 from ..ids import WorkerIncarnation
 from ..logs import log_event
-from ..systems.blaming import heard_peers
+from ..systems.blaming import live_peers
 from ..systems.following_workers import is_first_near
 from ..systems.quarantining import FORGOTTEN_MS
 from ..systems.quarantining import KEPT_MS
@@ -87,7 +87,7 @@
     async def recall(self) -> None:
         """Read again where no peer can tell: this box is cut off from all of them."""
         now = self._clock.now()
-        alone = self._fleet.peers and not heard_peers(self._fleet, now)
+        alone = self._fleet.peers and not live_peers(self._fleet, now)
         if alone and now >= self._recalled_at + PAUSE_MS:
             self._recalled_at = now
             await self._read_all(RECALL_MS)
--- a/src/spanshunt/platform/record_taking.py
+++ b/src/spanshunt/platform/record_taking.py
@@ -17,7 +17,7 @@
 from ..systems.evacuating import take_absent
 from ..systems.evacuating import take_evacuation
 from ..systems.quarantining import release
-from ..systems.ramping import take_order
+from ..systems.ramping import apply_order
 from ..tables.fleet import EvacuationRow
 from . import wire
 from .store import Listing
@@ -87,7 +87,7 @@
         order = decoded.ok_value
         service = ServiceId(order.backend)
         now = self._reader.now()
-        new = take_order(
+        new = apply_order(
             self._fleet,
             service,
             VersionId(order.target_version),
--- a/src/spanshunt/platform/recorded_status.py
+++ b/src/spanshunt/platform/recorded_status.py
@@ -10,9 +10,9 @@
 from ..ids import VersionId
 from ..rollout_lines import log_verdict
 from ..systems.eras import is_same_offset
+from ..systems.ramping import apply_start_time
+from ..systems.ramping import apply_verdict
 from ..systems.ramping import bar_versions
-from ..systems.ramping import take_beginning
-from ..systems.ramping import take_verdict
 from ..tables.fleet import Fleet
 from ..tables.rollouts import Verdict
 from . import wire
@@ -45,8 +45,8 @@
         row.recorded_suspicion = wire.decode_against(status.against)
         if verdict is Verdict.RUNNING and status.began:
             age = max(0, clock.wall() - status.began)
-            take_beginning(row, Millis(now - age), seen=False)
+            apply_start_time(row, Millis(now - age), seen=False)
         if row.turned_bad and verdict is Verdict.ROLLED_BACK:
             row.rollback_recorded = True
-        elif take_verdict(row, verdict, "recorded", now, recorded=True):
+        elif apply_verdict(row, verdict, "recorded", now, recorded=True):
             log_verdict(row, "store")
--- a/src/spanshunt/platform/recorder.py
+++ b/src/spanshunt/platform/recorder.py
@@ -13,19 +13,19 @@
 from ..rollout_lines import log_held
 from ..rollout_lines import log_turned_bad
 from ..rollout_lines import log_verdict
-from ..systems.blaming import basis_of
+from ..systems.blaming import summarise_evidence
 from ..systems.eras import is_same_offset
-from ..systems.exposing import fleet_rate
-from ..systems.exposing import hold_full
-from ..systems.exposing import raise_extra
+from ..systems.exposing import fleet_request_rate
+from ..systems.exposing import postpone_full_phase
+from ..systems.exposing import raise_extra_share
 from ..systems.judging import Judgement
-from ..systems.judging import due_suspicion
-from ..systems.judging import due_verdict
-from ..systems.judging import hold_suspected
 from ..systems.judging import judge
-from ..systems.judging import writer_delay
-from ..systems.ramping import take_verdict
-from ..systems.succeeding import hears_most
+from ..systems.judging import postpone_suspected
+from ..systems.judging import record_delay
+from ..systems.judging import suspicion_to_record
+from ..systems.judging import verdict_to_record
+from ..systems.ramping import apply_verdict
+from ..systems.succeeding import hears_majority
 from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Verdict
@@ -69,7 +69,7 @@
             if row.verdict is Verdict.RUNNING:
                 self._adapt_steps(row, now)
             before, was_bad = row.verdict, bool(row.turned_bad)
-            due = due_verdict(self._fleet, row, now)
+            due = verdict_to_record(self._fleet, row, now)
             if row.verdict is not before:
                 log_verdict(row, "own evidence")
             if row.turned_bad and not was_bad:
@@ -85,10 +85,12 @@
 
     def _adapt_steps(self, row: RolloutRow, now: Millis) -> None:
         """Fit the steps of a running order to the requests that come."""
-        raise_extra(self._fleet, row, fleet_rate(self._fleet, row, now), now)
-        if hold_full(self._fleet, row, now):
+        raise_extra_share(
+            self._fleet, row, fleet_request_rate(self._fleet, row, now), now
+        )
+        if postpone_full_phase(self._fleet, row, now):
             log_held(row, now, "the bound on requests")
-        if hold_suspected(self._fleet, row, now):
+        if postpone_suspected(self._fleet, row, now):
             log_held(row, now, "suspected")
 
     def _tell_evidence(
@@ -99,7 +101,7 @@
         running = row.verdict is Verdict.RUNNING
         if verdict_due or (running and now >= told + EVIDENCE_LINE_MS):
             self._told[row.service] = now
-            log_evidence(row, basis_of(self._fleet, row, now), now)
+            log_evidence(row, summarise_evidence(self._fleet, row, now), now)
 
     async def _announce(self, row: RolloutRow) -> None:
         """Record once that a roll-out runs and since when."""
@@ -107,13 +109,13 @@
             return
         now = self._clock.now()
         due_at = max(row.began, self._fleet.store.era_began)
-        if now < due_at + writer_delay(self._fleet, now):
+        if now < due_at + record_delay(self._fleet, now):
             return
         row.announced = await self._record(row, Judgement(Verdict.RUNNING))
 
     async def _record_suspicion(self, row: RolloutRow) -> None:
         """Record how far answers speak against a version, for boxes that start."""
-        against = due_suspicion(self._fleet, row, self._clock.now())
+        against = suspicion_to_record(self._fleet, row, self._clock.now())
         if against is None:
             return
         row.suspected_at = Millis(-1)
@@ -131,7 +133,7 @@
     async def _look(self, row: RolloutRow) -> None:
         """Read what others recorded, where they can't tell: this box is cut off."""
         now = self._clock.now()
-        if hears_most(self._fleet, row, now) or now < self._looked_at + LOOK_MS:
+        if hears_majority(self._fleet, row, now) or now < self._looked_at + LOOK_MS:
             return
         self._looked_at = now
         listing = await self._store.newest(wire.STATUS_TOPIC)
@@ -192,7 +194,9 @@
         self._count(f"rollouts.{judgement.verdict.value}")
         if row.turned_bad:
             row.rollback_recorded = True
-        elif take_verdict(row, judgement.verdict, judgement.reason, now, recorded=True):
+        elif apply_verdict(
+            row, judgement.verdict, judgement.reason, now, recorded=True
+        ):
             log_verdict(row, "own record")
         return True
 
--- a/src/spanshunt/platform_lines.py
+++ b/src/spanshunt/platform_lines.py
@@ -4,7 +4,7 @@
 from .ids import DomainId
 from .ids import Millis
 from .logs import log_event
-from .systems.blaming import heard_peers
+from .systems.blaming import live_peers
 from .systems.following_workers import is_served
 from .systems.proving import newest_told
 from .systems.proving import proof_age
@@ -20,7 +20,7 @@
         "proof_by": fleet.catalog_proof.source,
         "waiting_ms": now - waiting if waiting >= 0 else None,
         "served": is_served(fleet, now),
-        "peers_heard": len(heard_peers(fleet, now)),
+        "peers_heard": len(live_peers(fleet, now)),
         "newest_told": newest_told(fleet),
     }
 
--- a/src/spanshunt/rollout_lines.py
+++ b/src/spanshunt/rollout_lines.py
@@ -4,7 +4,7 @@
 
 from .ids import Millis
 from .logs import log_event
-from .systems.blaming import Basis
+from .systems.blaming import EvidenceSummary
 from .tables.rollouts import RolloutRow
 
 
@@ -64,7 +64,7 @@
     )
 
 
-def log_evidence(row: RolloutRow, basis: Basis, now: Millis) -> None:
+def log_evidence(row: RolloutRow, basis: EvidenceSummary, now: Millis) -> None:
     """Log what a judgement of an order would rest on now."""
     against = basis.suspicion
     known = against.log_evidence > -math.inf
--- a/src/spanshunt/systems/blaming.py
+++ b/src/spanshunt/systems/blaming.py
@@ -13,14 +13,14 @@
 from ..tables.rollouts import Tallies
 from .exposing import full_from_ms
 from .references import Reference
-from .references import reference_of
-from .sequential import log_change_over
-from .tallies import LEAST_BAD
-from .tallies import by_epoch
+from .references import build_reference
+from .sequential import log_change_above_each
+from .tallies import MIN_FAULTS
 from .tallies import count_answers
-from .tallies import pooled
+from .tallies import pooled_tallies
+from .tallies import trials_by_epoch
 
-EVIDENCE = 5.0
+EVIDENCE_THRESHOLD = 5.0
 """Natural log of the change statistic at which a version is bad: a sound version
 reaches it about once in 150 epochs for each series looked at."""
 
@@ -29,7 +29,7 @@
 until more answers decide: beside ailing engines of the leaving version, evidence that
 is not enough yet is often that of a bad one."""
 
-ELSEWHERE_BAD, ELSEWHERE_ANSWERS = 2, 4
+OTHER_WORKERS_FAULTS, OTHER_WORKERS_ANSWERS = 2, 4
 """Bad answers that a version must give beyond those of its worst worker, once the
 others gave so many answers: a version that fails half shows that in most cases."""
 
@@ -63,14 +63,14 @@
     log_evidence: float
 
     @property
-    def proven(self) -> bool:
+    def is_proven(self) -> bool:
         """Whether the version is bad."""
-        return self.log_evidence >= EVIDENCE
+        return self.log_evidence >= EVIDENCE_THRESHOLD
 
     @property
-    def holds(self) -> bool:
+    def blocks_success(self) -> bool:
         """Whether the version must not advance."""
-        return self.log_evidence >= HOLD_PART * EVIDENCE
+        return self.log_evidence >= HOLD_PART * EVIDENCE_THRESHOLD
 
     @property
     def reason(self) -> str:
@@ -82,7 +82,7 @@
         )
 
 
-class Basis(t.NamedTuple):
+class EvidenceSummary(t.NamedTuple):
     """What a judgement rests on, for logs.
 
     Attributes
@@ -102,7 +102,7 @@
     boxes: int
 
 
-def strongest(
+def strongest_suspicion(
     tallies: Tallies, full_ms: int, against: RecordedSuspicion | None = None
 ) -> Suspicion:
     """Return the strongest suspicion against the entering version, on any route.
@@ -118,49 +118,59 @@
         not known here, as after all boxes ended.
     """
     routes = {key.route for key in tallies.routes} | {""}
-    if against is not None and _is_known(tallies, against):
+    if against is not None and _has_recorded_answers(tallies, against):
         against = None
     if against is not None:
         routes.add(against.route)
     full_epoch = full_ms // EPOCH_MS
     found = [
-        _suspicion(tallies, route, finding, full_epoch, _start(against, route, finding))
+        _suspicion(
+            tallies,
+            route,
+            finding,
+            full_epoch,
+            _recorded_log_evidence(against, route, finding),
+        )
         for route in sorted(routes)
         for finding in Finding
     ]
     return max(found, key=lambda item: item.log_evidence)
 
 
-def _is_known(tallies: Tallies, against: RecordedSuspicion) -> bool:
+def _has_recorded_answers(tallies: Tallies, against: RecordedSuspicion) -> bool:
     """Tell whether answers are known that a recorded suspicion rests on."""
     return any(key.entering and key.epoch < against.epoch for key in tallies.routes)
 
 
-def _start(against: RecordedSuspicion | None, route: str, finding: Finding) -> float:
+def _recorded_log_evidence(
+    against: RecordedSuspicion | None, route: str, finding: Finding
+) -> float:
     """Return the log of the statistic that a recorded suspicion begins with."""
     if against is None or (against.route, against.finding) != (route, finding):
         return -math.inf
     return against.log_evidence
 
 
-def strongest_of(fleet: Fleet, row: RolloutRow) -> Suspicion:
+def current_suspicion(fleet: Fleet, row: RolloutRow) -> Suspicion:
     """Return the strongest suspicion against the version of an order."""
-    return strongest(pooled(row), full_from_ms(fleet, row), row.recorded_suspicion)
+    return strongest_suspicion(
+        pooled_tallies(row), full_from_ms(fleet, row), row.recorded_suspicion
+    )
 
 
-def basis_of(fleet: Fleet, row: RolloutRow, now: Millis) -> Basis:
+def summarise_evidence(fleet: Fleet, row: RolloutRow, now: Millis) -> EvidenceSummary:
     """Return what a judgement of an order rests on now."""
-    tallies = pooled(row)
-    return Basis(
+    tallies = pooled_tallies(row)
+    return EvidenceSummary(
         entering=count_answers(tallies, entering=True),
         leaving=count_answers(tallies, entering=False),
-        suspicion=strongest_of(fleet, row),
-        heard=1 + len(heard_peers(fleet, now)),
+        suspicion=current_suspicion(fleet, row),
+        heard=1 + len(live_peers(fleet, now)),
         boxes=1 + len(fleet.peers),
     )
 
 
-def heard_peers(fleet: Fleet, now: Millis) -> list[BoxId]:
+def live_peers(fleet: Fleet, now: Millis) -> list[BoxId]:
     """Return the peers that were heard of late."""
     return [
         peer.box
@@ -173,28 +183,28 @@
     tallies: Tallies, route: str, finding: Finding, full_epoch: int, start: float
 ) -> Suspicion:
     """Return what speaks against the entering version on a route ("" for all)."""
-    reference = reference_of(tallies, route, finding, full_epoch)
-    epochs = by_epoch(tallies, route, finding, entering=True)
+    reference = build_reference(tallies, route, finding, full_epoch)
+    epochs = trials_by_epoch(tallies, route, finding, entering=True)
     faulty = sum(faults for _, faults in epochs.values())
     log_evidence = start
-    shown = faulty >= LEAST_BAD and _fails_on_several(tallies, finding)
+    shown = faulty >= MIN_FAULTS and _is_fault_of_version(tallies, finding)
     if shown or start > -math.inf:
         numbers = sorted(epochs)
         series = [epochs[number] for number in numbers]
         ceilings = [reference.ceiling_at(number) for number in numbers]
-        log_evidence = log_change_over(series, ceilings, start)
+        log_evidence = log_change_above_each(series, ceilings, start)
     return Suspicion(
         route=route,
         finding=finding,
         answers=sum(trials for trials, _ in epochs.values()),
         faulty=faulty,
-        usual=_newest(reference, epochs, Reference.usual_at),
-        ceiling=_newest(reference, epochs, Reference.ceiling_at),
+        usual=_at_newest_epoch(reference, epochs, Reference.usual_at),
+        ceiling=_at_newest_epoch(reference, epochs, Reference.ceiling_at),
         log_evidence=log_evidence,
     )
 
 
-def _fails_on_several(tallies: Tallies, finding: Finding) -> bool:
+def _is_fault_of_version(tallies: Tallies, finding: Finding) -> bool:
     """Tell whether faults are the version's: not those of one ailing worker of it.
 
     Where its other workers gave too few answers to tell, they are.
@@ -203,13 +213,13 @@
     if not entering:
         return True
     worst = max(entering, key=lambda tally: tally.faults(finding))
-    everywhere = by_epoch(tallies, "", finding, entering=True).values()
+    everywhere = trials_by_epoch(tallies, "", finding, entering=True).values()
     others = sum(trials for trials, _ in everywhere) - worst.trials(finding)
     faults = sum(faults for _, faults in everywhere) - worst.faults(finding)
-    return others < ELSEWHERE_ANSWERS or faults >= ELSEWHERE_BAD
+    return others < OTHER_WORKERS_ANSWERS or faults >= OTHER_WORKERS_FAULTS
 
 
-def _newest(
+def _at_newest_epoch(
     reference: Reference,
     epochs: dict[int, tuple[int, int]],
     value: t.Callable[[Reference, int], float],
--- a/src/spanshunt/systems/forgetting.py
+++ b/src/spanshunt/systems/forgetting.py
@@ -5,7 +5,7 @@
 from .ending import forget_breaks
 from .estimating import forget_told
 from .quarantining import forget_suspects
-from .watching import forget_epochs
+from .watching import drop_old_epochs
 
 
 def forget_old(fleet: Fleet, now: Millis) -> None:
@@ -13,4 +13,4 @@
     forget_told(fleet, now)
     forget_breaks(fleet, now)
     forget_suspects(fleet, now)
-    forget_epochs(fleet, now)
+    drop_old_epochs(fleet, now)
--- a/src/spanshunt/systems/guarding.py
+++ b/src/spanshunt/systems/guarding.py
@@ -29,7 +29,7 @@
 from .sequential import log_evidence_above
 from .sequential import log_evidence_below
 
-SIGNALS = 3
+SIGNAL_COUNT = 3
 """Ratings, errors, late first tokens: the error rate is split among them."""
 
 LATE_RUN_LENGTH = 144_000
@@ -48,7 +48,7 @@
     matches: t.Callable[[Cell], bool]
 
 
-class Finding(msgspec.Struct, frozen=True):
+class Suspicion(msgspec.Struct, frozen=True):
     """The strongest evidence against a version.
 
     Attributes
@@ -66,7 +66,7 @@
     reason: str
 
 
-NOTHING = Finding(-math.inf, 0.0, "no evidence")
+NO_SUSPICION = Suspicion(-math.inf, 0.0, "no evidence")
 
 
 def judge_all(
@@ -83,9 +83,9 @@
     """
     steps = []
     for row in list(config.rollouts.values()):
-        shut_out = suspended.get(row.version)
-        if shut_out is not None and shut_out.rollout == row.name:
-            step = _held_step(config, row, shut_out.reason, box, wall)
+        suspended_row = suspended.get(row.version)
+        if suspended_row is not None and suspended_row.rollout == row.name:
+            step = _pull_back_step(config, row, suspended_row.reason, box, wall)
         else:
             step = judge(config, row, evidence, box, wall)
         if step is not None:
@@ -93,7 +93,7 @@
     return steps
 
 
-def _held_step(
+def _pull_back_step(
     config: Config, row: RolloutRow, reason: str, box: BoxId, wall: Millis
 ) -> RolloutStep | None:
     """Return the pull-back of a version that is shut out, None once it is recorded."""
@@ -117,27 +117,27 @@
         return None
     epochs = by_epoch(evidence, row.version)
     if row.state is RolloutState.DONE:
-        finding = late_finding(row.guards, epochs)
-        if finding.log_evidence >= 0:
-            return _step(row, StepVerdict.PULL_BACK, finding.reason, box, wall)
+        suspicion = late_suspicion(row.guards, epochs)
+        if suspicion.log_evidence >= 0:
+            return _step(row, StepVerdict.PULL_BACK, suspicion.reason, box, wall)
         return None
-    totals = _total(epochs)
-    finding = ramp_finding(row.guards, totals)
-    if finding.log_evidence >= 0:
-        return _step(row, StepVerdict.PULL_BACK, finding.reason, box, wall)
-    if finding.part < HOLD_PART and _stage_over(row, totals, wall):
+    totals = _sum_epochs(epochs)
+    suspicion = rollout_suspicion(row.guards, totals)
+    if suspicion.log_evidence >= 0:
+        return _step(row, StepVerdict.PULL_BACK, suspicion.reason, box, wall)
+    if suspicion.part < HOLD_PART and _is_stage_over(row, totals, wall):
         rated = sum(counts.rated for counts in totals.values())
         reason = f"{rated} ratings and nothing against it"
         return _step(row, StepVerdict.ADVANCE, reason, box, wall)
     return None
 
 
-def ramp_finding(guards: GuardRails, totals: dict[Cell, Counts]) -> Finding:
+def rollout_suspicion(guards: GuardRails, totals: dict[Cell, Counts]) -> Suspicion:
     """Return the strongest evidence against a version that is entering."""
-    found = NOTHING
+    found = NO_SUSPICION
     for scope in _scopes(guards, totals):
         counts = _sum_scope(totals, scope)
-        threshold = math.log(SIGNALS / (guards.alpha * scope.share))
+        threshold = math.log(SIGNAL_COUNT / (guards.alpha * scope.share))
         below = log_evidence_below(counts.rated, counts.good, scope.floor)
         errors = log_evidence_above(counts.runs, counts.errors, guards.error_ceiling)
         slow = log_evidence_above(counts.runs, counts.slow, guards.slow_ceiling)
@@ -151,10 +151,12 @@
     return found
 
 
-def late_finding(guards: GuardRails, epochs: dict[int, dict[Cell, Counts]]) -> Finding:
+def late_suspicion(
+    guards: GuardRails, epochs: dict[int, dict[Cell, Counts]]
+) -> Suspicion:
     """Return the strongest evidence that a version in full service turned bad."""
-    found = NOTHING
-    totals = _total(epochs)
+    found = NO_SUSPICION
+    totals = _sum_epochs(epochs)
     for scope in _scopes(guards, totals):
         series = [_sum_scope(cells, scope) for cells in epochs.values()]
         counts = _sum_scope(totals, scope)
@@ -183,7 +185,7 @@
     return found
 
 
-def _stage_over(row: RolloutRow, totals: dict[Cell, Counts], wall: Millis) -> bool:
+def _is_stage_over(row: RolloutRow, totals: dict[Cell, Counts], wall: Millis) -> bool:
     rated = sum(counts.rated for counts in totals.values())
     long_enough = wall - row.stage_since >= row.guards.stage_ms
     return long_enough and rated >= row.guards.stage_ratings * (row.stage + 1)
@@ -232,7 +234,7 @@
     return weighted / rated
 
 
-def _total(epochs: dict[int, dict[Cell, Counts]]) -> dict[Cell, Counts]:
+def _sum_epochs(epochs: dict[int, dict[Cell, Counts]]) -> dict[Cell, Counts]:
     totals: dict[Cell, Counts] = {}
     for cells in epochs.values():
         for cell, counts in cells.items():
@@ -249,12 +251,12 @@
 
 
 def _stronger(
-    found: Finding, log_evidence: float, threshold: float, reason: str
-) -> Finding:
+    found: Suspicion, log_evidence: float, threshold: float, reason: str
+) -> Suspicion:
     margin = log_evidence - threshold
     if margin <= found.log_evidence:
         return found
-    return Finding(margin, max(0.0, log_evidence / threshold), reason)
+    return Suspicion(margin, max(0.0, log_evidence / threshold), reason)
 
 
 def _quality_reason(scope: Scope, counts: Counts) -> str:
--- a/src/spanshunt/systems/judging.py
+++ b/src/spanshunt/systems/judging.py
@@ -9,20 +9,20 @@
 from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Verdict
-from .blaming import heard_peers
-from .blaming import strongest_of
-from .exposing import HELD_FROM_MS
-from .exposing import HELD_UNTIL_MS
+from .blaming import current_suspicion
+from .blaming import live_peers
+from .exposing import POSTPONE_FROM_MS
+from .exposing import POSTPONE_UNTIL_MS
 from .exposing import full_from_ms
-from .ramping import take_verdict
+from .ramping import apply_verdict
 from .succeeding import may_succeed
 from .tallies import count_answers
-from .tallies import pooled
-from .watching import LAPSE_MS
-from .watching import has_way_back
-from .watching import note_turned_bad
+from .tallies import pooled_tallies
+from .watching import LISTING_EXPIRY_MS
+from .watching import can_fall_back
+from .watching import check_turned_bad
 
-SUSPECTED_MS = 1_000
+SUSPECTED_DELAY_MS = 1_000
 """How much later than planned all requests enter a version that is suspected, in ms, as
 often as it is when that time comes near."""
 
@@ -36,9 +36,9 @@
 
 def judge(fleet: Fleet, row: RolloutRow, now: Millis) -> Judgement:
     """Judge a running roll-out by the pooled evidence."""
-    tallies = pooled(row)
-    suspicion = strongest_of(fleet, row)
-    if suspicion.proven:
+    tallies = pooled_tallies(row)
+    suspicion = current_suspicion(fleet, row)
+    if suspicion.is_proven:
         return Judgement(Verdict.ROLLED_BACK, suspicion.reason)
     if may_succeed(fleet, row, tallies, suspicion, now):
         answers = count_answers(tallies, entering=True)
@@ -47,24 +47,24 @@
     return Judgement(Verdict.RUNNING)
 
 
-def hold_suspected(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
+def postpone_suspected(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
     """Put the last step off while a version is suspected; tell whether it was."""
     full_ms = full_from_ms(fleet, row)
     left_ms = full_ms - (now - row.began)
-    if not HELD_UNTIL_MS <= left_ms < HELD_FROM_MS:
+    if not POSTPONE_UNTIL_MS <= left_ms < POSTPONE_FROM_MS:
         return False
-    if not strongest_of(fleet, row).holds:
+    if not current_suspicion(fleet, row).blocks_success:
         return False
-    row.full_from_ms = full_ms + SUSPECTED_MS
+    row.full_from_ms = full_ms + SUSPECTED_DELAY_MS
     return True
 
 
-RECORD_STEP = 1.0
+MIN_RECORD_INCREASE = 1.0
 """How much stronger a suspicion must be than the recorded one to be recorded anew, in
 natural logs: up to the verdict that is three times at most, at two calls each."""
 
 
-def due_suspicion(
+def suspicion_to_record(
     fleet: Fleet, row: RolloutRow, now: Millis
 ) -> RecordedSuspicion | None:
     """Return the suspicion that this box must record now, if any.
@@ -73,59 +73,63 @@
     of an order, five of six versions that made half of their answers four times slower
     were taken for sound by the few answers that came after (``bench/play_cases.py``).
     """
-    found = strongest_of(fleet, row)
+    found = current_suspicion(fleet, row)
     known = (
         row.recorded_suspicion.log_evidence
         if row.recorded_suspicion is not None
         else -math.inf
     )
-    if not found.holds or found.log_evidence < known + RECORD_STEP:
+    if not found.blocks_success or found.log_evidence < known + MIN_RECORD_INCREASE:
         row.suspected_at = Millis(-1)
         return None
     if row.suspected_at < 0:
         row.suspected_at = now
-    if now < row.suspected_at + writer_delay(fleet, now):
+    if now < row.suspected_at + record_delay(fleet, now):
         return None
     epoch = (now - row.began) // EPOCH_MS
     return RecordedSuspicion(found.route, found.finding, found.log_evidence, epoch)
 
 
-WRITER_STEP_MS = 700
+RECORD_STAGGER_MS = 700
 """How much longer each next box waits before it records a verdict itself, in ms: longer
 than a call to a slow store takes."""
 
 
-def writer_delay(fleet: Fleet, now: Millis) -> Millis:
+def record_delay(fleet: Fleet, now: Millis) -> Millis:
     """Return how long this box leaves the recording of a verdict to others, in ms.
 
     Boxes that are heard take turns in the order of their names, so that usually one
     writes; the store's condition decides where two do.
     """
-    before = sum(box < fleet.identity.box for box in heard_peers(fleet, now))
-    return Millis(before * WRITER_STEP_MS)
+    before = sum(box < fleet.identity.box for box in live_peers(fleet, now))
+    return Millis(before * RECORD_STAGGER_MS)
 
 
-def due_verdict(fleet: Fleet, row: RolloutRow, now: Millis) -> Judgement | None:
+def verdict_to_record(fleet: Fleet, row: RolloutRow, now: Millis) -> Judgement | None:
     """Return the verdict that this box must record now, if any.
 
     A version judged bad is taken back here at once, recorded or not. One that turned
     bad after its success is noted.
     """
-    due_at, judgement = _due(fleet, row, now)
+    due_at, judgement = _due_verdict(fleet, row, now)
     if judgement.verdict is Verdict.RUNNING:
         return None
     # What a copy of the store may lack is due anew, by one box after the other, too.
     due_at = max(due_at, fleet.store.era_began)
-    if now < due_at + writer_delay(fleet, now):
+    if now < due_at + record_delay(fleet, now):
         return None
     return judgement
 
 
-def _due(fleet: Fleet, row: RolloutRow, now: Millis) -> tuple[Millis, Judgement]:
+def _due_verdict(
+    fleet: Fleet, row: RolloutRow, now: Millis
+) -> tuple[Millis, Judgement]:
     """Return the verdict to be recorded and since when; running for none."""
-    note_turned_bad(fleet, row, now)
-    if row.turned_bad and not row.rollback_recorded and has_way_back(fleet, row, now):
-        since = max(row.turned_bad_checked_at, Millis(row.judged_at + LAPSE_MS))
+    check_turned_bad(fleet, row, now)
+    if row.turned_bad and not row.rollback_recorded and can_fall_back(fleet, row, now):
+        since = max(
+            row.turned_bad_checked_at, Millis(row.judged_at + LISTING_EXPIRY_MS)
+        )
         return since, Judgement(Verdict.ROLLED_BACK, row.turned_bad)
     if row.recorded:
         return now, Judgement(Verdict.RUNNING)
@@ -137,5 +141,5 @@
         return row.succeeded_since, judgement
     row.succeeded_since = Millis(-1)
     if judgement.verdict is Verdict.ROLLED_BACK:
-        take_verdict(row, judgement.verdict, judgement.reason, now, recorded=False)
+        apply_verdict(row, judgement.verdict, judgement.reason, now, recorded=False)
     return now, judgement
--- a/src/spanshunt/systems/quarantining.py
+++ b/src/spanshunt/systems/quarantining.py
@@ -20,7 +20,7 @@
 from ..tables.suspects import SuspectRequest
 from ..tables.workers import WorkerRow
 from ..utils import rendezvous
-from .blaming import heard_peers
+from .blaming import live_peers
 
 ENDS_MOST = 3
 """Workers that may end under one content: where workers end by themselves, two would
@@ -171,7 +171,7 @@
 
 
 def _tries(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
-    boxes = [fleet.identity.box, *heard_peers(fleet, now)]
+    boxes = [fleet.identity.box, *live_peers(fleet, now)]
     return rendezvous(row.fingerprint, boxes, 1)[0] == fleet.identity.box
 
 
@@ -254,7 +254,7 @@
 
     The box that found it does; where that one is not heard, the first by name that is.
     """
-    heard = heard_peers(fleet, now)
+    heard = live_peers(fleet, now)
     return [
         row
         for row in kept_contents(fleet)
@@ -270,7 +270,7 @@
 
     A box that starts would keep them back by their record.
     """
-    heard = heard_peers(fleet, now)
+    heard = live_peers(fleet, now)
     return [
         row
         for row in fleet.suspect_requests.values()
--- a/src/spanshunt/systems/ramping.py
+++ b/src/spanshunt/systems/ramping.py
@@ -22,9 +22,9 @@
 from .eras import era_of
 from .eras import is_same_offset
 from .eras import offset_of
-from .exposing import share_at
-from .tallies import is_suspect
-from .watching import has_way_back
+from .exposing import entering_share
+from .tallies import is_version_suspected
+from .watching import can_fall_back
 
 
 class Reason(enum.Enum):
@@ -33,10 +33,10 @@
     NO_ORDER = "no order"
     JUDGED = "judged"
     TURNED_BAD = "turned bad after its success"
-    FAILED_THERE = "failed on the entering version"
-    TOO_EARLY = "sessions stay for now"
-    DRAWN = "drawn"
-    NOT_DRAWN = "not drawn"
+    FAILED_ON_ENTERING = "failed on the entering version"
+    SESSIONS_NOT_YET = "sessions stay for now"
+    IN_SHARE = "drawn"
+    NOT_IN_SHARE = "not drawn"
     NO_WORKERS = "drawn, but no worker is known"
 
 
@@ -67,7 +67,7 @@
         return self.never.isdisjoint(versions)
 
 
-def version_for(
+def version_rule_for(
     fleet: Fleet,
     service: ServiceId,
     session: str,
@@ -104,31 +104,31 @@
     row = fleet.rollouts.rows.get(service)
     if row is None:
         return VersionRule()
-    share = share_at(fleet, row, now, in_session=bool(session))
+    share = entering_share(fleet, row, now, in_session=bool(session))
     entering = VersionRule(only=row.version, share=share)
     leaving = VersionRule(never=row.barred | {row.version}, share=share)
     if row.verdict is Verdict.SUCCEEDED:
-        if has_way_back(fleet, row, now):
+        if can_fall_back(fleet, row, now):
             return leaving._replace(reason=Reason.TURNED_BAD)
         return entering._replace(reason=Reason.JUDGED)
     if row.verdict is Verdict.ROLLED_BACK:
         return leaving._replace(reason=Reason.JUDGED)
     if row.version in failed and not (
         session
-        and not is_suspect(row, route)
+        and not is_version_suspected(row, route)
         and _has_workers(fleet, service, row.version, tried)
     ):
-        return leaving._replace(reason=Reason.FAILED_THERE)
+        return leaving._replace(reason=Reason.FAILED_ON_ENTERING)
     if session and share <= 0.0:
-        return leaving._replace(reason=Reason.TOO_EARLY)
+        return leaving._replace(reason=Reason.SESSIONS_NOT_YET)
     if unit_hash(str(row.order), session or draw) >= share:
-        return leaving._replace(reason=Reason.NOT_DRAWN)
+        return leaving._replace(reason=Reason.NOT_IN_SHARE)
     if not _has_workers(fleet, service, row.version):
         return leaving._replace(reason=Reason.NO_WORKERS)
-    return entering._replace(reason=Reason.DRAWN)
+    return entering._replace(reason=Reason.IN_SHARE)
 
 
-def take_order(
+def apply_order(
     fleet: Fleet,
     service: ServiceId,
     version: VersionId,
@@ -143,27 +143,29 @@
     `seen` tells whether whoever says when it began saw it come.
     """
     known = fleet.rollouts.rows.get(service)
-    if known is not None and _is_same(fleet, known, version, duration_ms, order):
+    if known is not None and _is_same_order(fleet, known, version, duration_ms, order):
         known.order, known.newest_order = (
             min(known.order, order),
             max(known.newest_order, order),
         )
-        take_beginning(known, began, seen=seen)
+        apply_start_time(known, began, seen=seen)
         return False
-    if known is not None and _is_older(known, order):
+    if known is not None and _is_older_order(known, order):
         return False
     row = RolloutRow(
         service, version, order, duration_ms, began, seen, newest_order=order
     )
     if known is not None:
         row.before = known.newest_order
-        taken_back = known.verdict is Verdict.ROLLED_BACK
-        bar_versions(row, known.barred | ({known.version} if taken_back else set()))
+        was_rolled_back = known.verdict is Verdict.ROLLED_BACK
+        bar_versions(
+            row, known.barred | ({known.version} if was_rolled_back else set())
+        )
     fleet.rollouts.rows[service] = row
     return True
 
 
-def _is_same(
+def _is_same_order(
     fleet: Fleet,
     known: RolloutRow,
     version: VersionId,
@@ -184,7 +186,7 @@
     return is_same_offset(order, known.newest_order) or known.began >= oldest
 
 
-def _is_older(known: RolloutRow, order: Offset) -> bool:
+def _is_older_order(known: RolloutRow, order: Offset) -> bool:
     """Tell whether an order came before the known one.
 
     One that a copy still holds, where the known one is lost, has a later era but an
@@ -195,7 +197,7 @@
     return known.before >= 0 and offset_of(order) <= offset_of(known.before)
 
 
-def take_beginning(row: RolloutRow, began: Millis, *, seen: bool) -> None:
+def apply_start_time(row: RolloutRow, began: Millis, *, seen: bool) -> None:
     """Take in when an order began, by someone's word; who saw it come knows better.
 
     Between words of one kind the earlier counts: news are late, never early. A time of
@@ -212,7 +214,7 @@
     row.barred = row.barred.union(versions) - {row.version}
 
 
-def take_verdict(
+def apply_verdict(
     row: RolloutRow, verdict: Verdict, reason: str, now: Millis, *, recorded: bool
 ) -> bool:
     """Take a verdict in; return whether it is new.
--- a/src/spanshunt/systems/sequential.py
+++ b/src/spanshunt/systems/sequential.py
@@ -14,24 +14,24 @@
 RISES = (0.02, 0.05, 0.1, 0.2, 0.4, 0.7)
 """Alternatives for a share over its ceiling: this much of the room above it."""
 
-LEAST_EXCESS = 2.0
+MIN_EXCESS = 2.0
 """With no more hits than this too few, or too many, since any epoch, there is nothing
 to work out: the evidence would be far below any threshold in use."""
 
-_LEAST = 1e-6
+_EPSILON = 1e-6
 
 
 def log_evidence_below(trials: int, hits: int, floor: float) -> float:
     """Return the log e-value against "the share of hits is at least `floor`"."""
-    bound = _inside(floor)
-    shares = [_inside(bound * (1 - drop)) for drop in DROPS]
+    bound = _clamp_share(floor)
+    shares = [_clamp_share(bound * (1 - drop)) for drop in DROPS]
     return _log_mixture([_log_ratio(trials, hits, share, bound) for share in shares])
 
 
 def log_evidence_above(trials: int, hits: int, ceiling: float) -> float:
     """Return the log e-value against "the share of hits is at most `ceiling`"."""
-    bound = _inside(ceiling)
-    shares = [_inside(bound + (1 - bound) * rise) for rise in RISES]
+    bound = _clamp_share(ceiling)
+    shares = [_clamp_share(bound + (1 - bound) * rise) for rise in RISES]
     return _log_mixture([_log_ratio(trials, hits, share, bound) for share in shares])
 
 
@@ -51,21 +51,24 @@
         The sum over all epochs of the evidence since then. While the share is sound,
         it reaches ``a`` after ``a`` epochs or more on average.
     """
-    bound = _inside(floor)
+    bound = _clamp_share(floor)
     missing = [trials * bound - hits for trials, hits in epochs]
-    if _most_of_a_suffix(missing) <= LEAST_EXCESS:
+    if _max_suffix_sum(missing) <= MIN_EXCESS:
         return -math.inf
     return _log_mixture(
-        [_log_shiryaev(epochs, _inside(bound * (1 - drop)), bound) for drop in DROPS]
+        [
+            _log_shiryaev(epochs, _clamp_share(bound * (1 - drop)), bound)
+            for drop in DROPS
+        ]
     )
 
 
 def log_change_above(epochs: list[tuple[int, int]], ceiling: float) -> float:
     """Return the log of the Shiryaev-Roberts statistic for a rise over `ceiling`."""
-    return log_change_over(epochs, [ceiling] * len(epochs))
+    return log_change_above_each(epochs, [ceiling] * len(epochs))
 
 
-def log_change_over(
+def log_change_above_each(
     epochs: list[tuple[int, int]], ceilings: list[float], start: float = -math.inf
 ) -> float:
     """Return the log of the Shiryaev-Roberts statistic for a rise over `ceilings`.
@@ -85,17 +88,19 @@
     float
         As of :func:`log_change_below`.
     """
-    bounds = [_inside(ceiling) for ceiling in ceilings]
+    bounds = [_clamp_share(ceiling) for ceiling in ceilings]
     excess = [
         hits - trials * bound
         for (trials, hits), bound in zip(epochs, bounds, strict=True)
     ]
-    if start == -math.inf and _most_of_a_suffix(excess) <= LEAST_EXCESS:
+    if start == -math.inf and _max_suffix_sum(excess) <= MIN_EXCESS:
         return -math.inf
-    return _log_mixture([_log_rise(epochs, bounds, rise, start) for rise in RISES])
+    return _log_mixture(
+        [_log_shiryaev_each(epochs, bounds, rise, start) for rise in RISES]
+    )
 
 
-def _most_of_a_suffix(values: list[float]) -> float:
+def _max_suffix_sum(values: list[float]) -> float:
     """Return the largest sum of values from any epoch to the last one."""
     most = total = 0.0
     for value in reversed(values):
@@ -111,12 +116,12 @@
     return total
 
 
-def _log_rise(
+def _log_shiryaev_each(
     epochs: list[tuple[int, int]], bounds: list[float], rise: float, start: float
 ) -> float:
     total = start
     for (trials, hits), bound in zip(epochs, bounds, strict=True):
-        share = _inside(bound + (1 - bound) * rise)
+        share = _clamp_share(bound + (1 - bound) * rise)
         total = _log_add(0.0, total) + _log_ratio(trials, hits, share, bound)
     return total
 
@@ -142,5 +147,5 @@
     return top + math.log(math.exp(one - top) + math.exp(other - top))
 
 
-def _inside(share: float) -> float:
-    return min(1 - _LEAST, max(_LEAST, share))
+def _clamp_share(share: float) -> float:
+    return min(1 - _EPSILON, max(_EPSILON, share))
--- a/src/spanshunt/systems/succeeding.py
+++ b/src/spanshunt/systems/succeeding.py
@@ -11,43 +11,43 @@
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Tallies
 from .blaming import Suspicion
-from .blaming import heard_peers
+from .blaming import live_peers
 from .exposing import full_from_ms
-from .exposing import full_part
+from .exposing import full_phase_part
 from .tallies import count_answers
 
-DONE_PART, DONE_LAST_PART = 0.27, 0.55
+SUCCESS_PART, LATE_SUCCESS_PART = 0.27, 0.55
 """Parts of the time with all requests after which a version that stayed sound has
 succeeded at the earliest, the second one where few answers show that it is."""
 
-DONE_LEFT_MS, DONE_LAST_LEFT_MS = 1_200, 600
+SUCCESS_LEFT_MS, LATE_SUCCESS_LEFT_MS = 1_200, 600
 """And how long before the order's time is over, in ms: the later, the less can go wrong
 unseen. What is left suffices to record a verdict, by a second box or at a slow store,
 too."""
 
-LEAST_ANSWERS = 30
+SUFFICIENT_ANSWERS = 30
 """Answers of the entering version that suffice for the earlier time: of 30, a version
 that fails a third shows 10, and the test against a tenth needs about 9."""
 
-LEAST_SHOWN = 10
+MIN_ANSWERS = 10
 """Answers without which it does not succeed at all while requests come: of ten, a
 version that fails half shows three or more in 19 of 20 cases. An order that waits for
 them is late, and harms nobody meanwhile: the version before is still there."""
 
-SPAN_MS, SPAN_PART = 4_000, 0.25
+MIN_SPAN_MS, MIN_SPAN_PART = 4_000, 0.25
 """How long before success its first answers came at the least, in ms and as a part of
 the order's time: answers that are slow end last."""
 
-QUIET_MS = 1_000
+IDLE_MS = 1_000
 """How long before all requests enter the latest request for the service may have been
 for it to count as not asked for at all, in ms."""
 
-HEARD_ALL_MOST, HEARD_LEAST = 12, 6
+SMALL_FLEET_PEERS, MIN_LIVE_PEERS = 12, 6
 """Peers up to which each of them is heard within the time that counts, so that half of
 them must be; and of more, how many must be: the streams that a box itself keeps open to
 others bring it twelve."""
 
-GONE_FAILURES = 3
+GONE_PEER_FAILURES = 3
 """Calls in a row that fail after which a box that was never heard is not waited for."""
 
 
@@ -55,70 +55,74 @@
     fleet: Fleet, row: RolloutRow, tallies: Tallies, against: Suspicion, now: Millis
 ) -> bool:
     """Tell whether a version that is not known to be bad has succeeded now."""
-    if against.holds:
+    if against.blocks_success:
         return False
     answers = count_answers(tallies, entering=True)
     age = now - row.began
-    if age < (done_ms(fleet, row) if answers >= LEAST_ANSWERS else last_ms(fleet, row)):
+    if age < (
+        earliest_success_ms(fleet, row)
+        if answers >= SUFFICIENT_ANSWERS
+        else late_success_ms(fleet, row)
+    ):
         return False
-    shown = _is_shown(row, tallies, now) or _is_quiet(fleet, row, tallies)
-    return shown and hears_most(fleet, row, now)
+    shown = _has_enough_answers(row, tallies, now) or _is_idle(fleet, row, tallies)
+    return shown and hears_majority(fleet, row, now)
 
 
-def done_ms(fleet: Fleet, row: RolloutRow) -> int:
+def earliest_success_ms(fleet: Fleet, row: RolloutRow) -> int:
     """Return the age from which on an order may have succeeded, in ms."""
-    return _done(fleet, row, DONE_PART, DONE_LEFT_MS)
+    return _success_age_ms(fleet, row, SUCCESS_PART, SUCCESS_LEFT_MS)
 
 
-def last_ms(fleet: Fleet, row: RolloutRow) -> int:
+def late_success_ms(fleet: Fleet, row: RolloutRow) -> int:
     """Return the same where few answers show it."""
-    return _done(fleet, row, DONE_LAST_PART, DONE_LAST_LEFT_MS)
+    return _success_age_ms(fleet, row, LATE_SUCCESS_PART, LATE_SUCCESS_LEFT_MS)
 
 
-def hears_most(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
+def hears_majority(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
     """Tell whether this box hears most of the boxes that may know more than it does.
 
     In a large fleet it talks to a few of them only, which tell what the others told:
     then it is those that it hears against those that it fails to reach. Counted against
     all, no box of 60 would hear most, and each read the store's verdicts every second.
     """
-    heard = set(heard_peers(fleet, now))
-    wanted = [peer for peer in fleet.peers.values() if _counts(peer, row)]
+    heard = set(live_peers(fleet, now))
+    wanted = [peer for peer in fleet.peers.values() if _is_expected(peer, row)]
     unheard = [peer for peer in wanted if peer.box not in heard]
-    if len(fleet.peers) <= HEARD_ALL_MOST:
+    if len(fleet.peers) <= SMALL_FLEET_PEERS:
         return len(unheard) <= len(wanted) / 2
     missed = sum(peer.failures > 0 for peer in unheard)
-    return len(heard) >= max(HEARD_LEAST, missed)
+    return len(heard) >= max(MIN_LIVE_PEERS, missed)
 
 
-def _counts(peer: PeerRow, row: RolloutRow) -> bool:
+def _is_expected(peer: PeerRow, row: RolloutRow) -> bool:
     """Tell whether a peer was there since the order began, or may be now."""
     if peer.heard < 0:
-        return peer.failures < GONE_FAILURES
+        return peer.failures < GONE_PEER_FAILURES
     return peer.heard >= row.began
 
 
-def _done(fleet: Fleet, row: RolloutRow, part: float, left_ms: int) -> int:
+def _success_age_ms(fleet: Fleet, row: RolloutRow, part: float, left_ms: int) -> int:
     begins = full_from_ms(fleet, row)
     full_ms = row.duration_ms - begins
     if full_ms <= 0:
         full_ms = int(
-            full_part(fleet.rollouts.bounds, row.duration_ms) * row.duration_ms
+            full_phase_part(fleet.rollouts.bounds, row.duration_ms) * row.duration_ms
         )
     return max(int(begins + part * full_ms), row.duration_ms - left_ms)
 
 
-def _is_shown(row: RolloutRow, tallies: Tallies, now: Millis) -> bool:
+def _has_enough_answers(row: RolloutRow, tallies: Tallies, now: Millis) -> bool:
     """Tell whether enough is known of the entering version, for long enough."""
     entering = [(k.epoch, tally) for k, tally in tallies.routes.items() if k.entering]
-    if sum(tally.answers for _, tally in entering) < LEAST_SHOWN:
+    if sum(tally.answers for _, tally in entering) < MIN_ANSWERS:
         return False
     oldest_ms = min(epoch for epoch, _ in entering) * EPOCH_MS
-    span_ms = min(SPAN_MS, SPAN_PART * row.duration_ms)
+    span_ms = min(MIN_SPAN_MS, MIN_SPAN_PART * row.duration_ms)
     return now - row.began >= oldest_ms + span_ms
 
 
-def _is_quiet(fleet: Fleet, row: RolloutRow, tallies: Tallies) -> bool:
+def _is_idle(fleet: Fleet, row: RolloutRow, tallies: Tallies) -> bool:
     """Tell whether nobody asks for the service: then nothing can show, or go wrong."""
-    since = max(0, full_from_ms(fleet, row) - QUIET_MS) // EPOCH_MS
+    since = max(0, full_from_ms(fleet, row) - IDLE_MS) // EPOCH_MS
     return not any(key.epoch >= since for key in tallies.routes)
--- a/src/spanshunt/systems/tallies.py
+++ b/src/spanshunt/systems/tallies.py
@@ -19,10 +19,10 @@
 sound workers, too, when a worker or a link breaks; and a sound version is slow at
 first, while its engines keep no prompts: one in ten answers on a calm day."""
 
-LEAST_BAD = 3
+MIN_FAULTS = 3
 """Bad answers without which nothing is held against a version."""
 
-WORKERS_TOLD = 8
+SAMPLED_WORKERS = 8
 """Workers of each version that are counted one by one, about: each takes some 20 bytes
 in an exchange, and where most are ailing a sound one should be among them."""
 
@@ -40,7 +40,7 @@
 """A worker that gave no answer in time."""
 
 
-def count(
+def count_answer(
     fleet: Fleet,
     service: ServiceId,
     route: str,
@@ -65,26 +65,26 @@
     """Tell whether a worker is counted by itself: the same ones on every box."""
     version = min(worker.versions, default=None)
     alike = len(fleet.workers.find_capable(row.service, version))
-    if alike <= WORKERS_TOLD:
+    if alike <= SAMPLED_WORKERS:
         return True
-    return unit_hash("sample", str(row.order), worker.name) < WORKERS_TOLD / alike
+    return unit_hash("sample", str(row.order), worker.name) < SAMPLED_WORKERS / alike
 
 
-def pooled(row: RolloutRow) -> Tallies:
+def pooled_tallies(row: RolloutRow) -> Tallies:
     """Return the tallies of all boxes, as far as this one heard; not to be changed.
 
     They are added up once for all that looks at them between two changes: a judgement
     looks three times.
     """
     if row.total_changes != row.changes:
-        row.total = add_up(
+        row.total = sum_tallies(
             row.own, *row.same_domain.values(), *row.other_domains.values()
         )
         row.total_changes = row.changes
     return row.total
 
 
-def add_up(*parts: Tallies) -> Tallies:
+def sum_tallies(*parts: Tallies) -> Tallies:
     """Return the sum of tallies."""
     total = Tallies()
     for part in parts:
@@ -104,7 +104,7 @@
     )
 
 
-def by_epoch(
+def trials_by_epoch(
     tallies: Tallies, route: str, finding: Finding, *, entering: bool
 ) -> dict[int, tuple[int, int]]:
     """Return answers that could show a fault, and those that did, by epoch.
@@ -121,18 +121,18 @@
     return epochs
 
 
-def is_suspect(row: RolloutRow, route: str) -> bool:
+def is_version_suspected(row: RolloutRow, route: str) -> bool:
     """Tell whether answers of the entering version speak against it, on a route or all.
 
     It needs less than a verdict does: to be wrong moves a session whose answer failed,
     or costs it one more attempt.
     """
-    routes = pooled(row).routes
+    routes = pooled_tallies(row).routes
     entering = [(key, tally) for key, tally in routes.items() if key.entering]
     for finding, floor in FAULT_FLOORS.items():
         everywhere = [tally for _, tally in entering]
         here = [tally for key, tally in entering if key.route == route]
-        if sum(tally.faults(finding) for tally in everywhere) < LEAST_BAD:
+        if sum(tally.faults(finding) for tally in everywhere) < MIN_FAULTS:
             continue
         if max(_share(everywhere, finding), _share(here, finding)) > floor:
             return True
--- a/src/spanshunt/systems/watching.py
+++ b/src/spanshunt/systems/watching.py
@@ -14,53 +14,53 @@
 from ..tables.rollouts import Tallies
 from ..tables.rollouts import Verdict
 from .blaming import Suspicion
-from .references import CEILINGS_MOST
-from .sequential import log_change_over
-from .tallies import LEAST_BAD
-from .tallies import by_epoch
-from .tallies import pooled
+from .references import MAX_CEILINGS
+from .sequential import log_change_above_each
+from .tallies import MIN_FAULTS
+from .tallies import pooled_tallies
+from .tallies import trials_by_epoch
 
-WATCHED_EPOCHS = 60
+KEPT_EPOCHS = 60
 """Epochs kept after success: what a box adds up each time it looks stays small."""
 
-LATE_EVIDENCE = 9.0
+LATE_EVIDENCE_THRESHOLD = 9.0
 """Natural log of the change statistic at which a version has turned bad: there is no
 end to the looks, and a sound one reaches it about once in 8,000 epochs of a series."""
 
-LOOK_MS = 1_000
+CHECK_PERIOD_MS = 1_000
 """How often a box looks, in ms: of 30 answers a second, a version that fails half shows
 it within two seconds."""
 
-LAPSE_MS = 5_000
+LISTING_EXPIRY_MS = 5_000
 """How long after success entries of the version before tell that its workers are there,
 in ms: those of workers that stopped lapse after three heartbeats, about 3.6 s."""
 
 
-def note_turned_bad(fleet: Fleet, row: RolloutRow, now: Millis) -> None:
+def check_turned_bad(fleet: Fleet, row: RolloutRow, now: Millis) -> None:
     """Look now and then whether a version that succeeded turned bad, and note it."""
     if row.verdict is not Verdict.SUCCEEDED or row.turned_bad:
         return
-    if now < row.turned_bad_checked_at + LOOK_MS:
+    if now < row.turned_bad_checked_at + CHECK_PERIOD_MS:
         return
     row.turned_bad_checked_at = now
-    suspicion = later_suspicion(pooled(row))
-    if suspicion.log_evidence >= LATE_EVIDENCE:
+    suspicion = late_suspicion(pooled_tallies(row))
+    if suspicion.log_evidence >= LATE_EVIDENCE_THRESHOLD:
         row.turned_bad = suspicion.reason
 
 
-def later_suspicion(tallies: Tallies) -> Suspicion:
+def late_suspicion(tallies: Tallies) -> Suspicion:
     """Return what speaks most for failures beyond any share that trouble explains.
 
     Nothing is left to hold the version against, and nothing is compared but failures.
     """
     routes = sorted({key.route for key in tallies.routes} | {""})
-    found = [_on_route(tallies, route) for route in routes]
+    found = [_route_suspicion(tallies, route) for route in routes]
     return max(found, key=lambda item: item.log_evidence)
 
 
-def has_way_back(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
+def can_fall_back(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
     """Tell whether a version that turned bad can be left: others are there."""
-    if not row.turned_bad or now < row.judged_at + LAPSE_MS:
+    if not row.turned_bad or now < row.judged_at + LISTING_EXPIRY_MS:
         return False
     out = row.barred | {row.version}
     return any(
@@ -71,13 +71,13 @@
     )
 
 
-def forget_epochs(fleet: Fleet, now: Millis) -> None:
+def drop_old_epochs(fleet: Fleet, now: Millis) -> None:
     """Drop epochs of succeeded versions that are no longer looked at."""
     for row in fleet.rollouts.rows.values():
         if row.verdict is not Verdict.SUCCEEDED:
             continue
         row.changes += 1
-        oldest = (now - row.began) // EPOCH_MS - WATCHED_EPOCHS
+        oldest = (now - row.began) // EPOCH_MS - KEPT_EPOCHS
         for tallies in (
             row.own,
             *row.same_domain.values(),
@@ -87,13 +87,13 @@
                 del tallies.routes[key]
 
 
-def _on_route(tallies: Tallies, route: str) -> Suspicion:
-    ceiling = CEILINGS_MOST[Finding.FAILED]
-    epochs = by_epoch(tallies, route, Finding.FAILED, entering=True)
+def _route_suspicion(tallies: Tallies, route: str) -> Suspicion:
+    ceiling = MAX_CEILINGS[Finding.FAILED]
+    epochs = trials_by_epoch(tallies, route, Finding.FAILED, entering=True)
     series = [epochs[number] for number in sorted(epochs)]
     faulty = sum(faults for _, faults in series)
     log_evidence = -math.inf
-    if faulty >= LEAST_BAD:
-        log_evidence = log_change_over(series, [ceiling] * len(series))
+    if faulty >= MIN_FAULTS:
+        log_evidence = log_change_above_each(series, [ceiling] * len(series))
     answers = sum(trials for trials, _ in series)
     return Suspicion(route, Finding.FAILED, answers, faulty, 0.0, ceiling, log_evidence)
--- a/src/spanshunt/tables/rollouts.py
+++ b/src/spanshunt/tables/rollouts.py
@@ -198,7 +198,7 @@
     changes : int
         Number of changes to any of these tallies.
     total : Tallies
-        Cached sum of the tallies, read through `pooled`.
+        Cached sum of the tallies, read through `pooled_tallies`.
     total_changes : int
         The number of changes at which `total` was computed; -1 for never.
     """
--- a/tests/test_bad_versions.py
+++ b/tests/test_bad_versions.py
@@ -31,10 +31,10 @@
 from spanshunt.ids import Offset
 from spanshunt.ids import ServiceId
 from spanshunt.ids import VersionId
-from spanshunt.systems.judging import due_verdict
-from spanshunt.systems.ramping import take_order
-from spanshunt.systems.ramping import take_verdict
-from spanshunt.systems.ramping import version_for
+from spanshunt.systems.judging import verdict_to_record
+from spanshunt.systems.ramping import apply_order
+from spanshunt.systems.ramping import apply_verdict
+from spanshunt.systems.ramping import version_rule_for
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
 from spanshunt.tables.rollouts import Finding
@@ -50,7 +50,7 @@
     fleet = make_fleet()
     add_worker(fleet, make_worker("old"))
     add_worker(fleet, make_worker("new", version=NEW))
-    take_order(fleet, SERVICE, NEW, Offset(5), DURATION, Millis(0))
+    apply_order(fleet, SERVICE, NEW, Offset(5), DURATION, Millis(0))
     return fleet, fleet.rollouts.rows[SERVICE]
 
 
@@ -74,22 +74,22 @@
         fleet.peers[name] = PeerRow(name, "host:1", heard=ms(2))
     for at in range(10):
         note_result(fleet, SERVICE, "r", {OLD}, ms(23 + at / 20), None)
-    assert due_verdict(fleet, row, ms(23.9)) is None
+    assert verdict_to_record(fleet, row, ms(23.9)) is None
 
 
 def test_version_that_turns_bad_after_its_success_is_left_where_it_can_be():
     """Workers of the version before may still be there: then requests go back."""
     fleet, row = ordered()
-    take_verdict(row, Verdict.SUCCEEDED, "60 answers", ms(23), recorded=True)
+    apply_verdict(row, Verdict.SUCCEEDED, "60 answers", ms(23), recorded=True)
     for number in range(200):
         at = ms(24 + number / 20)
         found = Finding.FAILED if number % 2 else None
         note_result(fleet, SERVICE, "r", {NEW}, at, found)
         fleet.workers.rows["old"].listed_at = at
-    due = due_verdict(fleet, row, ms(34))
+    due = verdict_to_record(fleet, row, ms(34))
     assert due is not None and due.verdict is Verdict.ROLLED_BACK
-    assert version_for(fleet, SERVICE, "s", "r", ms(34)).admits({OLD})
-    assert not version_for(fleet, SERVICE, "s", "r", ms(34)).admits({NEW})
+    assert version_rule_for(fleet, SERVICE, "s", "r", ms(34)).admits({OLD})
+    assert not version_rule_for(fleet, SERVICE, "s", "r", ms(34)).admits({NEW})
 
 
 def test_burst_late_in_an_order_keeps_the_bound():
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -24,18 +24,18 @@
 from spanshunt.peers.news_rows import RETOLD_MS
 from spanshunt.peers.news_rows import rollout_news
 from spanshunt.peers.news_rows import take_group
-from spanshunt.systems.blaming import EVIDENCE
-from spanshunt.systems.blaming import strongest
-from spanshunt.systems.ramping import take_order
-from spanshunt.systems.references import CEILINGS_MOST
-from spanshunt.systems.references import reference_of
+from spanshunt.systems.blaming import EVIDENCE_THRESHOLD
+from spanshunt.systems.blaming import strongest_suspicion
+from spanshunt.systems.ramping import apply_order
+from spanshunt.systems.references import MAX_CEILINGS
+from spanshunt.systems.references import build_reference
 from spanshunt.systems.tallies import BEGAN
 from spanshunt.systems.tallies import FAILED
 from spanshunt.systems.tallies import IN_TIME
+from spanshunt.systems.tallies import SAMPLED_WORKERS
 from spanshunt.systems.tallies import SLOW
-from spanshunt.systems.tallies import WORKERS_TOLD
-from spanshunt.systems.tallies import count
-from spanshunt.systems.tallies import pooled
+from spanshunt.systems.tallies import count_answer
+from spanshunt.systems.tallies import pooled_tallies
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
 from spanshunt.tables.rollouts import Finding
@@ -53,7 +53,7 @@
     for number in range(workers):
         add_worker(fleet, make_worker(f"old-{number}"))
         add_worker(fleet, make_worker(f"new-{number}", version=NEW))
-    take_order(fleet, SERVICE, NEW, Offset(5), DURATION, Millis(0))
+    apply_order(fleet, SERVICE, NEW, Offset(5), DURATION, Millis(0))
     return fleet
 
 
@@ -63,7 +63,7 @@
 
 def see(fleet: Fleet, worker: str, at: float, seen: Tally, route: str = "r") -> None:
     row = fleet.workers.rows[worker]
-    count(fleet, SERVICE, route, row, ms(at), seen)
+    count_answer(fleet, SERVICE, route, row, ms(at), seen)
 
 
 def feed(fleet: Fleet, kind: str, shares: list[float], begin=0.0, end=20.0, a_second=5):
@@ -77,12 +77,12 @@
 
 
 def ceiling(fleet: Fleet, epoch: int) -> float:
-    reference = reference_of(pooled(row_of(fleet)), "", Finding.FAILED, 22)
+    reference = build_reference(pooled_tallies(row_of(fleet)), "", Finding.FAILED, 22)
     return reference.ceiling_at(epoch)
 
 
 def log_evidence(fleet: Fleet) -> float:
-    return strongest(pooled(row_of(fleet)), FULL_MS).log_evidence
+    return strongest_suspicion(pooled_tallies(row_of(fleet)), FULL_MS).log_evidence
 
 
 class TestReference:
@@ -107,7 +107,7 @@
     def test_nothing_excuses_more_than_a_quarter(self):
         fleet = ordered()
         feed(fleet, "old", [0.9] * 5)
-        assert ceiling(fleet, 15) == CEILINGS_MOST[Finding.FAILED]
+        assert ceiling(fleet, 15) == MAX_CEILINGS[Finding.FAILED]
 
     def test_spell_raises_it_while_it_lasts(self):
         fleet = ordered()
@@ -139,7 +139,7 @@
                 see(fleet, f"new-{number}", at, BEGAN)
                 see(fleet, f"new-{number}", at, SLOW if number % 2 else IN_TIME)
                 see(fleet, f"new-{number}", at, BEGAN)
-        found = strongest(pooled(row_of(fleet)), FULL_MS)
+        found = strongest_suspicion(pooled_tallies(row_of(fleet)), FULL_MS)
         assert (found.finding, found.answers, found.faulty) == (Finding.SLOW, 40, 16)
 
 
@@ -160,14 +160,14 @@
         feed(one, "new", [0.5] * 5, 0.0, 18.0)
         for turn in range(8):
             self.tell(one, other, 18.0 + turn * RETOLD_MS / 1_000)
-        assert pooled(row_of(other)) == pooled(row_of(one))
+        assert pooled_tallies(row_of(other)) == pooled_tallies(row_of(one))
 
     def test_told_twice_counts_once(self):
         one, other = ordered("box-1"), ordered("box-2", "south")
         feed(one, "new", [0.5] * 5, 0.0, 3.0)
         for _ in range(3):
             self.tell(one, other, 3.0)
-        assert pooled(row_of(other)) == pooled(row_of(one))
+        assert pooled_tallies(row_of(other)) == pooled_tallies(row_of(one))
 
     def test_box_that_is_back_hears_what_its_ended_run_told(self):
         one, other = ordered("box-1"), ordered("box-2")
@@ -182,7 +182,7 @@
         )
         self.tell(again, other, 4.0)
         self.tell(other, again, 4.0)
-        assert pooled(row_of(again)) == pooled(row_of(one))
+        assert pooled_tallies(row_of(again)) == pooled_tallies(row_of(one))
 
     def test_far_box_hears_a_sum_and_not_its_own(self):
         one, far = ordered("box-1"), ordered("box-9", "south")
@@ -199,7 +199,7 @@
                 see(fleet, f"old-{number}", 1.0, BEGAN)
         counted = set(row_of(one).own.workers)
         assert counted == set(row_of(other).own.workers)
-        assert WORKERS_TOLD / 2 <= len(counted) <= 2 * WORKERS_TOLD
+        assert SAMPLED_WORKERS / 2 <= len(counted) <= 2 * SAMPLED_WORKERS
 
 
 @given(
@@ -217,7 +217,7 @@
         failed = rng.random() < share
         name = f"{kind}-{rng.randrange(5)}"
         see(fleet, name, at, FAILED if failed else BEGAN)
-    assert log_evidence(fleet) < EVIDENCE
+    assert log_evidence(fleet) < EVIDENCE_THRESHOLD
 
 
 class Pool(RuleBasedStateMachine):
@@ -265,7 +265,9 @@
         self.own[box] = 0
 
     def known(self, fleet):
-        return sum(tally.answers for tally in pooled(row_of(fleet)).routes.values())
+        return sum(
+            tally.answers for tally in pooled_tallies(row_of(fleet)).routes.values()
+        )
 
     @invariant()
     def nothing_is_counted_twice(self):
--- a/tests/test_fleet_report.py
+++ b/tests/test_fleet_report.py
@@ -23,8 +23,8 @@
 from spanshunt.systems.evacuating import take_evacuation
 from spanshunt.systems.quarantining import newly_kept
 from spanshunt.systems.quarantining import note_end_under
+from spanshunt.systems.ramping import apply_order
 from spanshunt.systems.ramping import bar_versions
-from spanshunt.systems.ramping import take_order
 from spanshunt.systems.repeats import RepeatBounds
 from spanshunt.systems.repeats import note_repeat
 from spanshunt.systems.repeats import note_request
@@ -62,14 +62,14 @@
 
 def test_says_that_a_version_was_taken_back():
     fleet = with_workers("a")
-    take_order(fleet, WRITER, VersionId("v2"), Offset(1), ms(10), ms(0))
+    apply_order(fleet, WRITER, VersionId("v2"), Offset(1), ms(10), ms(0))
     bar_versions(fleet.rollouts.rows[WRITER], [VersionId("v1")])
     assert "taken back" in view_of(fleet).workers[0].out
 
 
 def test_rollout_with_its_evidence():
     fleet = with_workers("a")
-    take_order(fleet, WRITER, VersionId("v2"), Offset(1), ms(60), ms(0))
+    apply_order(fleet, WRITER, VersionId("v2"), Offset(1), ms(60), ms(0))
     entering = frozenset({VersionId("v2")})
     for finding in (None, None, Finding.FAILED, Finding.SLOW):
         note_result(fleet, WRITER, "route", entering, ms(1), finding)
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -48,8 +48,8 @@
 from spanshunt.systems.following_workers import ListedWorker
 from spanshunt.systems.following_workers import take_list
 from spanshunt.systems.quarantining import ENDS_MOST
-from spanshunt.systems.ramping import take_order
-from spanshunt.systems.ramping import take_verdict
+from spanshunt.systems.ramping import apply_order
+from spanshunt.systems.ramping import apply_verdict
 from spanshunt.tables.fleet import EvacuationRow
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.rollouts import Verdict
@@ -61,7 +61,7 @@
 
 def ordered(fleet: Fleet, version: str, era: int, offset: int, at: float = 1) -> bool:
     place = place_of(era, offset)
-    return take_order(fleet, SERVICE, VersionId(version), place, ms(24), ms(at))
+    return apply_order(fleet, SERVICE, VersionId(version), place, ms(24), ms(at))
 
 
 def in_era(era: int = 1) -> Fleet:
@@ -128,7 +128,7 @@
 def test_order_that_the_copy_still_holds_does_not_replace_the_lost_one():
     fleet = in_era()
     ordered(fleet, "v2", 1, 40)
-    take_verdict(
+    apply_verdict(
         fleet.rollouts.rows[SERVICE], Verdict.SUCCEEDED, "", ms(2), recorded=True
     )
     assert ordered(fleet, "v3", 1, 57, at=30)
@@ -140,7 +140,7 @@
 def test_version_ordered_anew_long_after_it_was_judged_is_another_order():
     fleet = in_era()
     ordered(fleet, "v2", 1, 40)
-    take_verdict(
+    apply_verdict(
         fleet.rollouts.rows[SERVICE], Verdict.ROLLED_BACK, "", ms(2), recorded=True
     )
     later = ms(30) + COPY_AGE_MS
@@ -160,7 +160,7 @@
     fleet = in_era()
     ordered(fleet, "v2", 1, 40)
     row = fleet.rollouts.rows[SERVICE]
-    take_verdict(row, Verdict.SUCCEEDED, "", ms(2), recorded=True)
+    apply_verdict(row, Verdict.SUCCEEDED, "", ms(2), recorded=True)
     take_era(fleet, 2, Millis(ms(2) + COPY_AGE_MS + 1))
     assert row.recorded
 
@@ -183,7 +183,7 @@
         fleet = node.fleet
         ordered(fleet, "v2", 1, 57)
         row = fleet.rollouts.rows[SERVICE]
-        take_verdict(row, Verdict.SUCCEEDED, "", node.clock.now(), recorded=False)
+        apply_verdict(row, Verdict.SUCCEEDED, "", node.clock.now(), recorded=False)
         told = RolloutNews(
             SERVICE, row.version, row.order, 24_000, 0, "succeeded", "", recorded=True
         )
@@ -316,7 +316,7 @@
         rows = [box.node.fleet.rollouts.rows for box in fleet.boxes]
         await until(lambda: all(SERVICE in row for row in rows), "the order")
         first = fleet.boxes[0].node
-        take_verdict(
+        apply_verdict(
             rows[0][SERVICE],
             Verdict.ROLLED_BACK,
             "it fails",
--- a/tests/test_ramping.py
+++ b/tests/test_ramping.py
@@ -21,17 +21,17 @@
 from spanshunt.ids import Offset
 from spanshunt.ids import ServiceId
 from spanshunt.ids import VersionId
-from spanshunt.systems.exposing import fleet_rate
-from spanshunt.systems.exposing import raise_extra
-from spanshunt.systems.exposing import share_at
-from spanshunt.systems.judging import WRITER_STEP_MS
-from spanshunt.systems.judging import due_verdict
+from spanshunt.systems.exposing import entering_share
+from spanshunt.systems.exposing import fleet_request_rate
+from spanshunt.systems.exposing import raise_extra_share
+from spanshunt.systems.judging import RECORD_STAGGER_MS
 from spanshunt.systems.judging import judge
-from spanshunt.systems.judging import writer_delay
-from spanshunt.systems.ramping import take_beginning
-from spanshunt.systems.ramping import take_order
-from spanshunt.systems.ramping import take_verdict
-from spanshunt.systems.ramping import version_for
+from spanshunt.systems.judging import record_delay
+from spanshunt.systems.judging import verdict_to_record
+from spanshunt.systems.ramping import apply_order
+from spanshunt.systems.ramping import apply_start_time
+from spanshunt.systems.ramping import apply_verdict
+from spanshunt.systems.ramping import version_rule_for
 from spanshunt.systems.repeats import note_request
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
@@ -48,7 +48,7 @@
     fleet = make_fleet(box)
     add_worker(fleet, make_worker("old"))
     add_worker(fleet, make_worker("new", version="v2"))
-    take_order(fleet, SERVICE, NEW, Offset(order), DURATION, Millis(0))
+    apply_order(fleet, SERVICE, NEW, Offset(order), DURATION, Millis(0))
     return fleet
 
 
@@ -57,7 +57,7 @@
 
 
 def entering(fleet: Fleet, session: str, now: int) -> bool:
-    return version_for(fleet, SERVICE, session, "r", now).only == NEW
+    return version_rule_for(fleet, SERVICE, session, "r", now).only == NEW
 
 
 def part_entering(fleet: Fleet, now: int) -> float:
@@ -92,7 +92,7 @@
 
 
 def share_of(fleet: Fleet, now: int, in_session: bool) -> float:
-    return share_at(fleet, row_of(fleet), Millis(now), in_session=in_session)
+    return entering_share(fleet, row_of(fleet), Millis(now), in_session=in_session)
 
 
 def exposed(fleet: Fleet, in_session: bool) -> float:
@@ -124,7 +124,7 @@
     fleet = rolling()
     fleet.rollouts.bounds = ExposureBounds(share, slack)
     row = row_of(fleet)
-    raise_extra(fleet, row, low * rate, ms(11))
+    raise_extra_share(fleet, row, low * rate, ms(11))
     requests = rate * DURATION / 1_000
     assert exposed(fleet, in_session) * requests <= share * requests + slack + 1.0
 
@@ -135,7 +135,7 @@
     small, large = rolling(), rolling()
     for fleet, rate in ((small, 13.0), (large, 5_000.0)):
         fleet.rollouts.bounds = ExposureBounds(0.15, 30.0)
-        raise_extra(fleet, row_of(fleet), rate, ms(11))
+        raise_extra_share(fleet, row_of(fleet), rate, ms(11))
     answers = [
         13.0 * sum(share_of(fleet, ms(at), in_session) for at in range(22))
         for fleet in (small, large)
@@ -149,11 +149,11 @@
     fleet = rolling()
     fleet.rollouts.bounds = ExposureBounds(0.15, 30.0)
     before = share_of(fleet, ms(11), in_session)
-    raise_extra(fleet, row_of(fleet), 5.0, ms(11))
+    raise_extra_share(fleet, row_of(fleet), 5.0, ms(11))
     assert share_of(fleet, ms(11.9), in_session) == before
     raised = share_of(fleet, ms(after), in_session)
     assert raised > share_of(rolling(), ms(after), in_session)
-    raise_extra(fleet, row_of(fleet), 1.0, ms(13))
+    raise_extra_share(fleet, row_of(fleet), 1.0, ms(13))
     assert share_of(fleet, ms(14), in_session) == raised
 
 
@@ -161,7 +161,7 @@
 def test_rate_counts_only_while_boxes_have_time_to_agree(at):
     fleet = rolling()
     fleet.rollouts.bounds = ExposureBounds(0.15, 30.0)
-    raise_extra(fleet, row_of(fleet), 5.0, ms(at))
+    raise_extra_share(fleet, row_of(fleet), 5.0, ms(at))
     assert row_of(fleet).extra == 0.0
 
 
@@ -179,7 +179,7 @@
         fleet.peers[name] = PeerRow(name, "host:1")
     for at in range(6_000, 12_000, 500):
         note_request(fleet, SERVICE, Millis(at))
-    assert fleet_rate(fleet, row_of(fleet), ms(12)) == pytest.approx(20.0)
+    assert fleet_request_rate(fleet, row_of(fleet), ms(12)) == pytest.approx(20.0)
 
 
 def test_success_waits_for_answers_while_time_is_left():
@@ -209,13 +209,13 @@
     fleet = rolling()
     on_it = [f"s{n}" for n in range(200) if entering(fleet, f"s{n}", ms(13))]
     for name in on_it:
-        found = version_for(fleet, SERVICE, name, "r", ms(13), failed={NEW})
+        found = version_rule_for(fleet, SERVICE, name, "r", ms(13), failed={NEW})
         assert found.only == NEW
 
 
 def test_request_of_no_session_is_repeated_on_the_leaving_version():
     fleet = rolling()
-    found = version_for(fleet, SERVICE, "", "r", ms(20), failed={NEW})
+    found = version_rule_for(fleet, SERVICE, "", "r", ms(20), failed={NEW})
     assert found.never == {NEW}
 
 
@@ -285,7 +285,7 @@
 def test_sound_version_succeeds_before_the_deadline():
     fleet = rolling()
     feed(fleet, 20, 0.0)
-    due = due_verdict(fleet, row_of(fleet), ms(22.8))
+    due = verdict_to_record(fleet, row_of(fleet), ms(22.8))
     assert due is not None and due.verdict is Verdict.SUCCEEDED
     assert share_of(fleet, ms(22.5), True) == 1.0
 
@@ -293,19 +293,19 @@
 def test_condemned_version_gets_nothing_before_it_is_recorded():
     fleet = rolling()
     feed(fleet, 8, 0.9)
-    due_verdict(fleet, row_of(fleet), ms(8))
+    verdict_to_record(fleet, row_of(fleet), ms(8))
     assert not row_of(fleet).recorded
     assert part_entering(fleet, ms(8)) == part_entering(fleet, ms(23)) == 0.0
-    assert not version_for(fleet, SERVICE, "", "r", ms(23)).admits({NEW})
+    assert not version_rule_for(fleet, SERVICE, "", "r", ms(23)).admits({NEW})
 
 
 def test_recorded_verdict_wins_over_own():
     fleet = rolling()
     row = row_of(fleet)
-    take_verdict(row, Verdict.ROLLED_BACK, "own", ms(1), recorded=False)
-    take_verdict(row, Verdict.SUCCEEDED, "recorded", ms(2), recorded=True)
+    apply_verdict(row, Verdict.ROLLED_BACK, "own", ms(1), recorded=False)
+    apply_verdict(row, Verdict.SUCCEEDED, "recorded", ms(2), recorded=True)
     assert row.verdict is Verdict.SUCCEEDED
-    take_verdict(row, Verdict.ROLLED_BACK, "late", ms(3), recorded=False)
+    apply_verdict(row, Verdict.ROLLED_BACK, "late", ms(3), recorded=False)
     assert row.verdict is Verdict.SUCCEEDED
 
 
@@ -313,38 +313,38 @@
     fleet = rolling("box-3")
     for name in ("box-1", "box-2", "box-4"):
         fleet.peers[name] = PeerRow(BoxId(name), "a", heard=ms(9))
-    assert writer_delay(fleet, ms(10)) == 2 * WRITER_STEP_MS
-    assert writer_delay(fleet, ms(60)) == 0
+    assert record_delay(fleet, ms(10)) == 2 * RECORD_STAGGER_MS
+    assert record_delay(fleet, ms(60)) == 0
 
 
 def test_newer_order_replaces_an_ended_one():
     fleet = rolling()
-    take_verdict(row_of(fleet), Verdict.ROLLED_BACK, "", ms(1), recorded=True)
-    assert take_order(fleet, SERVICE, VersionId("v3"), Offset(9), DURATION, ms(30))
+    apply_verdict(row_of(fleet), Verdict.ROLLED_BACK, "", ms(1), recorded=True)
+    assert apply_order(fleet, SERVICE, VersionId("v3"), Offset(9), DURATION, ms(30))
     assert row_of(fleet).verdict is Verdict.RUNNING
-    assert not take_order(fleet, SERVICE, NEW, Offset(5), DURATION, ms(31))
+    assert not apply_order(fleet, SERVICE, NEW, Offset(5), DURATION, ms(31))
 
 
 def test_version_taken_back_gets_nothing_under_the_next_order():
     """Seen: its workers were still listed, and sessions moved to them."""
     fleet = rolling()
     add_worker(fleet, make_worker("newer", version="v3"))
-    take_verdict(row_of(fleet), Verdict.ROLLED_BACK, "", ms(8), recorded=False)
-    take_order(fleet, SERVICE, VersionId("v3"), Offset(9), DURATION, ms(9))
+    apply_verdict(row_of(fleet), Verdict.ROLLED_BACK, "", ms(8), recorded=False)
+    apply_order(fleet, SERVICE, VersionId("v3"), Offset(9), DURATION, ms(9))
     for at in (9.5, 22, 28):
         for number in range(200):
-            found = version_for(fleet, SERVICE, f"s{number}", "r", ms(at))
+            found = version_rule_for(fleet, SERVICE, f"s{number}", "r", ms(at))
             assert not found.admits({NEW})
-    take_verdict(row_of(fleet), Verdict.ROLLED_BACK, "", ms(29), recorded=False)
-    found = version_for(fleet, SERVICE, "s", "r", ms(30))
+    apply_verdict(row_of(fleet), Verdict.ROLLED_BACK, "", ms(29), recorded=False)
+    found = version_rule_for(fleet, SERVICE, "s", "r", ms(30))
     assert found.admits({OLD}) and not found.admits({NEW})
 
 
 def test_version_ordered_again_is_no_longer_barred():
     fleet = rolling()
-    take_verdict(row_of(fleet), Verdict.ROLLED_BACK, "", ms(8), recorded=True)
-    take_order(fleet, SERVICE, VersionId("v3"), Offset(9), DURATION, ms(9))
-    take_order(fleet, SERVICE, NEW, Offset(11), DURATION, ms(20))
+    apply_verdict(row_of(fleet), Verdict.ROLLED_BACK, "", ms(8), recorded=True)
+    apply_order(fleet, SERVICE, VersionId("v3"), Offset(9), DURATION, ms(9))
+    apply_order(fleet, SERVICE, NEW, Offset(11), DURATION, ms(20))
     assert NEW not in row_of(fleet).barred
 
 
@@ -352,14 +352,14 @@
     fleet = rolling()
     row = row_of(fleet)
     row.began, row.seen = ms(3), False
-    take_beginning(row, ms(2), seen=False)
+    apply_start_time(row, ms(2), seen=False)
     assert (row.began, row.seen) == (ms(2), False)
-    take_beginning(row, ms(4), seen=True)
+    apply_start_time(row, ms(4), seen=True)
     assert (row.began, row.seen) == (ms(4), True)
-    take_beginning(row, ms(1), seen=False)
-    take_beginning(row, ms(5), seen=True)
+    apply_start_time(row, ms(1), seen=False)
+    apply_start_time(row, ms(5), seen=True)
     assert row.began == ms(4)
-    take_beginning(row, ms(3.9), seen=True)
+    apply_start_time(row, ms(3.9), seen=True)
     assert row.began == ms(3.9)
 
 
@@ -391,18 +391,20 @@
     @rule(box=st.integers(0, 2))
     def record(self, box):
         fleet = self.boxes[box]
-        due = due_verdict(fleet, row_of(fleet), self.now)
+        due = verdict_to_record(fleet, row_of(fleet), self.now)
         if due is None:
             return
         if self.stored is None:
             self.stored = due.verdict
-        take_verdict(row_of(fleet), self.stored, "", self.now, recorded=True)
+        apply_verdict(row_of(fleet), self.stored, "", self.now, recorded=True)
 
     @rule(teller=st.integers(0, 2), hearer=st.integers(0, 2))
     def tell(self, teller, hearer):
         told = row_of(self.boxes[teller])
         heard = row_of(self.boxes[hearer])
-        take_verdict(heard, told.verdict, told.reason, self.now, recorded=told.recorded)
+        apply_verdict(
+            heard, told.verdict, told.reason, self.now, recorded=told.recorded
+        )
 
     @invariant()
     def recorded_verdicts_are_the_stores(self):
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -22,8 +22,8 @@
 from spanshunt.ids import Offset
 from spanshunt.ids import VersionId
 from spanshunt.platform import wire
-from spanshunt.systems.ramping import take_order
-from spanshunt.systems.succeeding import hears_most
+from spanshunt.systems.ramping import apply_order
+from spanshunt.systems.succeeding import hears_majority
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
 
@@ -37,7 +37,7 @@
     `silent` ones it has not talked to of late; the order began before all were heard.
     """
     fleet = make_fleet()
-    take_order(fleet, SERVICE, VersionId("v2"), Offset(5), ms(24), ms(1))
+    apply_order(fleet, SERVICE, VersionId("v2"), Offset(5), ms(24), ms(1))
     kinds = [(ms(9.5), 0)] * heard + [(ms(4), 2)] * failing + [(ms(4), 0)] * silent
     for number, (at, failures) in enumerate(kinds):
         name = BoxId(f"peer-{number}")
@@ -47,7 +47,7 @@
 
 def hears(heard: int, failing: int, silent: int) -> bool:
     fleet = with_peers(heard, failing, silent)
-    return hears_most(fleet, fleet.rollouts.rows[SERVICE], ms(10))
+    return hears_majority(fleet, fleet.rollouts.rows[SERVICE], ms(10))
 
 
 def test_box_of_a_large_fleet_hears_most_though_it_talks_to_few():
--- a/tests/test_session_moves.py
+++ b/tests/test_session_moves.py
@@ -36,8 +36,8 @@
 from spanshunt.ids import ServiceId
 from spanshunt.ids import VersionId
 from spanshunt.ids import WorkerId
-from spanshunt.systems.ramping import take_order
-from spanshunt.systems.ramping import version_for
+from spanshunt.systems.ramping import apply_order
+from spanshunt.systems.ramping import version_rule_for
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.rollouts import Finding
 from spanshunt.utils import unit_hash
@@ -89,7 +89,7 @@
         order_lag, workers_lag = self.lags[number]
         if now >= order_lag and SERVICE not in fleet.rollouts.rows:
             order, began = Offset(self.order), Millis(order_lag)
-            take_order(fleet, SERVICE, NEW, order, DURATION, began)
+            apply_order(fleet, SERVICE, NEW, order, DURATION, began)
         knows_order = SERVICE in fleet.rollouts.rows
         if knows_order and now >= workers_lag and "new" not in fleet.workers.rows:
             add_worker(fleet, make_worker("new", version=NEW))
@@ -98,7 +98,7 @@
         """Answer a request of a session at a box; it ends `took` ms later."""
         self.learn(number, now)
         fleet = self.fleets[number]
-        found = version_for(fleet, SERVICE, session, f"r{now}", Millis(now))
+        found = version_rule_for(fleet, SERVICE, session, f"r{now}", Millis(now))
         version = NEW if found.only == NEW else OLD
         before = self.ran.get(session)
         if before is not None and before.ended <= now < before.ended + SESSION_MS:
@@ -152,7 +152,7 @@
     fleet = make_fleet()
     add_worker(fleet, make_worker("old"))
     add_worker(fleet, make_worker("new", version=NEW))
-    take_order(fleet, SERVICE, NEW, Offset(1), DURATION, Millis(0))
+    apply_order(fleet, SERVICE, NEW, Offset(1), DURATION, Millis(0))
     for number in range(answers):
         found = Finding.FAILED if number < failed else None
         note_result(fleet, SERVICE, ROUTE, {NEW}, ms(13), found)
@@ -161,7 +161,7 @@
 
 def repeated_on(fleet: Fleet, session: str) -> VersionId:
     """Return where a request of a session goes that failed on the entering version."""
-    found = version_for(fleet, SERVICE, session, "r1", ms(14), ROUTE, {NEW})
+    found = version_rule_for(fleet, SERVICE, session, "r1", ms(14), ROUTE, {NEW})
     return NEW if found.only == NEW else OLD
 
 
@@ -187,7 +187,7 @@
     fleet = box_with_evidence(answers=30, failed=1)
     for name in DRAWN_EARLY:
         tried = {WorkerId("new")}
-        found = version_for(
+        found = version_rule_for(
             fleet, SERVICE, name, "r1", ms(14), ROUTE, {NEW}, tried=tried
         )
         assert found.never == {NEW}
