--- a/bench/play_cases.py
+++ b/bench/play_cases.py
@@ -340,5 +340,5 @@
         late=sum(at > bound for at in arrived),
         served=sum(asked.served for asked in during) / max(1, len(during)),
         broken=play.broken,
-        turned_bad=sum(bool(row.turned_bad) for row in _rows(play)),
+        turned_bad=sum(bool(row.turned_bad_reason) for row in _rows(play)),
     )
--- a/bench/world.py
+++ b/bench/world.py
@@ -169,7 +169,7 @@
         owed: list[Release] = []
         for record in stream.read(table.next_offset) or []:
             owed.extend(fold_claims(table, record))
-        table.started = True
+        table.caught_up = True
         if owed:
             self.log.append("claims", Claims((), tuple(owed)), self.now, "ok")
 
@@ -242,7 +242,7 @@
         """Let a caller make a keyed call at a box: the claim is appended."""
         one = self.boxes[box]
         table = one.state.claims
-        if one.paused or not table.started or winner(table, key) is not None:
+        if one.paused or not table.caught_up or winner(table, key) is not None:
             return
         if key in one.waiting:
             return
--- a/src/spanshunt/claimer.py
+++ b/src/spanshunt/claimer.py
@@ -87,7 +87,7 @@
     ) -> Result[Won | Repeat, Refusal]:
         """Claim a caller's key for a request."""
         table = self._state.claims
-        if not table.started:
+        if not table.caught_up:
             return Err(_not_claimed("this box has not read the claims yet"))
         digest = claim_key(org, service, key)
         held = winner(table, digest)
--- a/src/spanshunt/exchange.py
+++ b/src/spanshunt/exchange.py
@@ -395,8 +395,8 @@
         bar_versions(row, item.barred)
         row.extra = max(row.extra, item.extra)
         row.full_from_ms = max(row.full_from_ms, item.full_from_ms)
-        if item.turned_bad and not row.turned_bad:
-            row.turned_bad = item.turned_bad
+        if item.turned_bad and not row.turned_bad_reason:
+            row.turned_bad_reason = item.turned_bad
             log_turned_bad(row, news.box)
         verdict, reason = Verdict(item.verdict), item.reason
         # Who does not know yet that the store came back older tells what stood before.
--- a/src/spanshunt/followers.py
+++ b/src/spanshunt/followers.py
@@ -139,7 +139,7 @@
         for record in read.records:
             owed.extend(fold_claims(table, record))
         if table.next_offset >= read.head:
-            table.started = True
+            table.caught_up = True
         self._claimer.note_folded()
         if owed:
             task = asyncio.create_task(self._claimer.release(tuple(owed)))
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -108,7 +108,7 @@
         extra=row.extra,
         seen=row.seen,
         full_from_ms=row.full_from_ms,
-        turned_bad=row.turned_bad,
+        turned_bad=row.turned_bad_reason,
         announced=row.announced,
         against=_against_news(row.recorded_suspicion),
     )
--- a/src/spanshunt/platform/recorded_status.py
+++ b/src/spanshunt/platform/recorded_status.py
@@ -46,7 +46,7 @@
         if verdict is Verdict.RUNNING and status.began:
             age = max(0, clock.wall() - status.began)
             apply_start_time(row, Millis(now - age), seen=False)
-        if row.turned_bad and verdict is Verdict.ROLLED_BACK:
+        if row.turned_bad_reason and verdict is Verdict.ROLLED_BACK:
             row.rollback_recorded = True
         elif apply_verdict(row, verdict, "recorded", now, recorded=True):
             log_verdict(row, "store")
--- a/src/spanshunt/platform/recorder.py
+++ b/src/spanshunt/platform/recorder.py
@@ -68,11 +68,11 @@
         for row in list(self._fleet.rollouts.rows.values()):
             if row.verdict is Verdict.RUNNING:
                 self._adapt_steps(row, now)
-            before, was_bad = row.verdict, bool(row.turned_bad)
+            before, was_bad = row.verdict, bool(row.turned_bad_reason)
             due = verdict_to_record(self._fleet, row, now)
             if row.verdict is not before:
                 log_verdict(row, "own evidence")
-            if row.turned_bad and not was_bad:
+            if row.turned_bad_reason and not was_bad:
                 self._count("rollouts.turned_bad")
                 log_turned_bad(row, "own evidence")
             self._tell_evidence(row, now, verdict_due=due is not None)
@@ -192,7 +192,7 @@
             reason=judgement.reason,
         )
         self._count(f"rollouts.{judgement.verdict.value}")
-        if row.turned_bad:
+        if row.turned_bad_reason:
             row.rollback_recorded = True
         elif apply_verdict(
             row, judgement.verdict, judgement.reason, now, recorded=True
@@ -205,7 +205,7 @@
 
         Answers came while the store was read, and success can't be taken back.
         """
-        if row.turned_bad:
+        if row.turned_bad_reason:
             return not row.rollback_recorded
         if judgement.verdict is Verdict.SUCCEEDED and not row.recorded:
             now = self._clock.now()
--- a/src/spanshunt/rollout_lines.py
+++ b/src/spanshunt/rollout_lines.py
@@ -45,7 +45,7 @@
         service=row.service,
         version=row.version,
         order=row.order,
-        reason=row.turned_bad,
+        reason=row.turned_bad_reason,
         source=source,
     )
 
--- a/src/spanshunt/systems/judging.py
+++ b/src/spanshunt/systems/judging.py
@@ -126,11 +126,15 @@
 ) -> tuple[Millis, Judgement]:
     """Return the verdict to be recorded and since when; running for none."""
     check_turned_bad(fleet, row, now)
-    if row.turned_bad and not row.rollback_recorded and can_fall_back(fleet, row, now):
+    if (
+        row.turned_bad_reason
+        and not row.rollback_recorded
+        and can_fall_back(fleet, row, now)
+    ):
         since = max(
             row.turned_bad_checked_at, Millis(row.judged_at + LISTING_EXPIRY_MS)
         )
-        return since, Judgement(Verdict.ROLLED_BACK, row.turned_bad)
+        return since, Judgement(Verdict.ROLLED_BACK, row.turned_bad_reason)
     if row.recorded:
         return now, Judgement(Verdict.RUNNING)
     if row.verdict is not Verdict.RUNNING:
--- a/src/spanshunt/systems/proving.py
+++ b/src/spanshunt/systems/proving.py
@@ -39,7 +39,7 @@
 def take_told_proof(fleet: Fleet, version: int, told: CatalogProof) -> None:
     """Take in a peer's proof for a catalog's version, if this box has that one."""
     if told.source < fleet.identity.box:
-        fleet.earlier_proof_at = max(fleet.earlier_proof_at, told.at)
+        fleet.preceding_box_proof_at = max(fleet.preceding_box_proof_at, told.at)
     if version == fleet.catalog_version and told.at > fleet.catalog_proof.at:
         fleet.catalog_proof = told
 
@@ -67,7 +67,7 @@
     The first one by name does of those that are heard and served. In a large fleet a
     box hears few others: it is not the first while one before it proves.
     """
-    proved = fleet.earlier_proof_at
+    proved = fleet.preceding_box_proof_at
     if proved >= 0 and now - proved < READER_PART * in_force_ms:
         return False
     return is_served(fleet, now) and all(
--- a/src/spanshunt/systems/watching.py
+++ b/src/spanshunt/systems/watching.py
@@ -38,14 +38,14 @@
 
 def check_turned_bad(fleet: Fleet, row: RolloutRow, now: Millis) -> None:
     """Look now and then whether a version that succeeded turned bad, and note it."""
-    if row.verdict is not Verdict.SUCCEEDED or row.turned_bad:
+    if row.verdict is not Verdict.SUCCEEDED or row.turned_bad_reason:
         return
     if now < row.turned_bad_checked_at + CHECK_PERIOD_MS:
         return
     row.turned_bad_checked_at = now
     suspicion = late_suspicion(pooled_tallies(row))
     if suspicion.log_evidence >= LATE_EVIDENCE_THRESHOLD:
-        row.turned_bad = suspicion.reason
+        row.turned_bad_reason = suspicion.reason
 
 
 def late_suspicion(tallies: Tallies) -> Suspicion:
@@ -60,7 +60,7 @@
 
 def can_fall_back(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
     """Tell whether a version that turned bad can be left: others are there."""
-    if not row.turned_bad or now < row.judged_at + LISTING_EXPIRY_MS:
+    if not row.turned_bad_reason or now < row.judged_at + LISTING_EXPIRY_MS:
         return False
     out = row.barred | {row.version}
     return any(
--- a/src/spanshunt/tables/claims.py
+++ b/src/spanshunt/tables/claims.py
@@ -49,7 +49,7 @@
     ----------
     next_offset : int
         Offset of the first record that is not folded yet.
-    started : bool
+    caught_up : bool
         Whether folding has started; it starts at the first record that the log holds.
     won : dict
         The winning claim by key, in log order.
@@ -58,6 +58,6 @@
     """
 
     next_offset: Offset = Offset(0)
-    started: bool = False
+    caught_up: bool = False
     won: dict[str, WonClaim] = {}
     own: dict[RequestId, OwnCall] = {}
--- a/src/spanshunt/tables/fleet.py
+++ b/src/spanshunt/tables/fleet.py
@@ -214,7 +214,7 @@
         The catalog in its received, packed form, for sending to peers.
     catalog_proof : CatalogProof
         Proof that the catalog is the newest.
-    earlier_proof_at : int
+    preceding_box_proof_at : int
         Time of the newest catalog proof reported from a box whose name sorts before
         this one, in ms; -1 for never.
     long_poll_since : int
@@ -295,7 +295,7 @@
     catalog: Catalog | None = None
     catalog_packed: bytes = b""
     catalog_proof: CatalogProof = CatalogProof()
-    earlier_proof_at: Millis = Millis(-1)
+    preceding_box_proof_at: Millis = Millis(-1)
     long_poll_since: Millis = Millis(-1)
     workers: Workers = msgspec.field(default_factory=Workers)
     workers_end: Offset = Offset(-1)
--- a/src/spanshunt/tables/notices.py
+++ b/src/spanshunt/tables/notices.py
@@ -45,9 +45,9 @@
     rest_ms: Millis | None = None
     invalid: tuple[InvalidNotice, ...] = ()
 
-    def is_invalid(self, word: NoticeKind) -> bool:
+    def is_invalid(self, kind: NoticeKind) -> bool:
         """Return whether the notice of this kind is present and invalid."""
-        return any(flaw.kind is word for flaw in self.invalid)
+        return any(notice.kind is kind for notice in self.invalid)
 
 
 class RateLimit(msgspec.Struct, frozen=True):
--- a/src/spanshunt/tables/rollouts.py
+++ b/src/spanshunt/tables/rollouts.py
@@ -167,13 +167,13 @@
     succeeded_since : int
         Since when this box judges the version successful without a recorded verdict, in
         ms; -1 for not.
-    turned_bad : str
+    turned_bad_reason : str
         Evidence that the version turned bad after its success, as text for operators;
         empty for none.
     turned_bad_checked_at : int
         When this box last checked whether the version turned bad, in ms.
     rollback_recorded : bool
-        Whether the rollback after `turned_bad` is known to be recorded.
+        Whether the rollback after `turned_bad_reason` is known to be recorded.
     extra : float
         Share of the order's requests that the entering version may get on top of the
         allowed share, derived from the allowed number of requests.
@@ -217,7 +217,7 @@
     suspected_at: Millis = Millis(-1)
     judged_at: Millis = Millis(0)
     succeeded_since: Millis = Millis(-1)
-    turned_bad: str = ""
+    turned_bad_reason: str = ""
     turned_bad_checked_at: Millis = Millis(0)
     rollback_recorded: bool = False
     extra: float = 0.0
--- a/src/spanshunt/tables/suspects.py
+++ b/src/spanshunt/tables/suspects.py
@@ -80,7 +80,7 @@
     def counted_ends(self) -> dict[WorkerIncarnation, Millis]:
         """Return the ends later than `CLEARED_MS` after the last complete answer."""
         since = self.cleared_at + CLEARED_MS if self.cleared_at >= 0 else -1
-        return {life: at for life, at in self.ends.items() if at > since}
+        return {run: at for run, at in self.ends.items() if at > since}
 
     def last_end(self) -> Millis:
         """Return when a worker last ended under the content, in ms; -1 for never."""
