--- a/src/spanshunt/ids.py
+++ b/src/spanshunt/ids.py
@@ -6,7 +6,7 @@
 """An organisation that owns requests and is billed for them."""
 
 ServiceId = t.NewType("ServiceId", str)
-"""A model-backed or plain service that callers address by name."""
+"""A service of the configuration or of the catalog, whichever the process has."""
 
 ModelId = t.NewType("ModelId", str)
 """A model, for example ``redactor-grande``."""
@@ -18,10 +18,11 @@
 """A request class within a service, for example ``note``."""
 
 WorkerId = t.NewType("WorkerId", str)
-"""A backend server, written ``host:port``, or the id of its run if runs have ids."""
+"""A backend server: ``host:port`` in ``spanshuntd``, else the key of its entry in the
+platform's list, which a later run of it may use again."""
 
 BoxId = t.NewType("BoxId", str)
-"""A box that runs one ``spanshuntd``."""
+"""A box, on which one process of this program runs; a restart keeps the name."""
 
 DomainId = t.NewType("DomainId", str)
 """A failure domain."""
@@ -36,7 +37,8 @@
 """One request of a caller, unique across all boxes."""
 
 WorkerIncarnation = t.NewType("WorkerIncarnation", str)
-"""One run of a worker: its id, and its start time if ids are reused."""
+"""One run of a worker: its id, its start time if it reports one, and how often it came
+back after this box had found that it ended, if ever."""
 
 Fingerprint = t.NewType("Fingerprint", str)
 """Hex digest of a request's organisation, destination and content, by which equal
@@ -55,7 +57,8 @@
 """A configuration object as plans name it, for example ``org/museo``."""
 
 Offset = t.NewType("Offset", int)
-"""A position in one stream of the platform's log, counted from 0."""
+"""A position in one stream of the platform's log or store, counted from 0. In the store
+it contains the number of restores, so that positions rise across a restore."""
 
 Millis = t.NewType("Millis", int)
 """A time or a duration in milliseconds."""
--- a/src/spanshunt/peers/messages.py
+++ b/src/spanshunt/peers/messages.py
@@ -50,7 +50,9 @@
 
 
 class Suspension(msgspec.Struct, frozen=True, array_like=True):
-    """A version that a box stopped using before its withdrawal is on the log.
+    """A version that a box suspended, before the record that withdraws it is folded.
+
+    The receiver keeps it as a :class:`~spanshunt.tables.state.SuspendedRow`.
 
     Attributes
     ----------
@@ -89,9 +91,13 @@
     suspended : tuple
         Versions that must not be used.
     fresh_age : int
-        Maximum age of the sender's configuration, in ms; -1 for unknown.
+        Upper bound of the age of the sender's configuration, in ms; -1 for unknown.
     witness : bool
-        Whether the sender has every record that any of its runs ever reported to have.
+        Whether the sender has every record that any of its runs ever reported to have,
+        so that its answer counts towards the majority that proves a configuration
+        current. Boxes keep nothing on disk: a restarted one lacks what its earlier run
+        had, and is no witness until it is known to be current for a time shortly after
+        its start.
     """
 
     sender: MemberDigest
@@ -112,7 +118,8 @@
     told : Exchange
         State of the answering box.
     records : tuple
-        Configuration records from the caller's offset on.
+        Configuration records from the offset on that the asking box sent in its
+        ``sender``.
     snapshot : Snapshot or None
         Sent instead of records that are no longer held.
     """
@@ -163,12 +170,16 @@
 class Pin(msgspec.Struct, frozen=True):
     """The pinned version of a session, stored at the boxes that its hash selects.
 
+    It is the request and the answer of two calls. To read a pin, a box sends the key
+    alone, and the answer has the version, or none if it is unknown. To store a pin, it
+    sends both, and the answer repeats them.
+
     Attributes
     ----------
     key : str
         Digest of the organisation, the session and the requested name.
     version : str
-        The version; empty to request it.
+        The version; empty to read it, and in the answer if it is unknown.
     """
 
     key: str
--- a/src/spanshunt/ports.py
+++ b/src/spanshunt/ports.py
@@ -64,7 +64,8 @@
     model : str
         The model that the caller names; empty to let the system choose.
     resume_after : int or None
-        Id of the last event that the caller received in an earlier run.
+        Id of the last event that the caller received of this stream before it asked
+        again; None if it starts anew.
     """
 
     request: RequestId
@@ -98,11 +99,14 @@
     org : str
         The organisation that owns the request; empty for none.
     urgency : int
-        Priority at the worker; 0 is the most urgent.
+        Priority at the worker; 0 is the most urgent. For a plain request it is the
+        priority of its organisation or route. For a model request the number rises with
+        the time that the engine needs for the prompt; a resumed one has 0.
     left_ms : int
         Time left for the worker to answer, in ms.
     resume_after : int or None
-        Id of the last event that the caller received.
+        Id of the last event that the caller received, from an earlier attempt or before
+        it sent this request; None for no event.
     new_connection : bool
         Whether a new connection must be used for the call.
     """
@@ -162,7 +166,7 @@
     load : Load or None
         Load that the worker reports.
     notice : Notice
-        Other notices of the worker about itself.
+        Notices of the worker about itself, other than its load.
     """
 
     status: int
--- a/src/spanshunt/records.py
+++ b/src/spanshunt/records.py
@@ -1,7 +1,9 @@
 """Records of the platform's log, one tagged type for each kind.
 
-A record of an unknown kind is skipped and counted. It neither stops the fold nor makes
-boxes diverge, since every box of this version skips the same records.
+Each box folds a stream: it applies the records to its tables in the order of the log
+and comes to the same tables as any other box. A record of an unknown kind is skipped
+and counted. It neither stops the fold nor makes boxes diverge, since every box of this
+version skips the same records.
 """
 
 import enum
@@ -37,14 +39,29 @@
 
 
 class StepVerdict(enum.Enum):
-    """The decision of a roll-out step."""
+    """The decision of a roll-out step: go to the next stage, or pull it back."""
 
     ADVANCE = "advance"
     PULL_BACK = "pull_back"
 
 
 class Confirm(msgspec.Struct, frozen=True, tag="confirm"):
-    """An operator confirms a plan."""
+    """An operator confirms a plan, that is a set of changes to the configuration.
+
+    Attributes
+    ----------
+    plan : str
+        Digest of the changes and of ``base``.
+    changes : tuple of Change
+        The changes.
+    base : dict
+        Revision of each object that the plan reads or changes, when the plan was made;
+        -1 if there was none. The plan is rejected if any of them has changed since.
+    operator : str
+        Name of the operator, for the audit trail.
+    at : int
+        Wall-clock time of the confirmation, in ms.
+    """
 
     plan: PlanId
     changes: tuple[Change, ...]
@@ -69,7 +86,7 @@
 
 
 class Lease(msgspec.Struct, frozen=True, tag="lease"):
-    """A box requests or renews the lease of a duty."""
+    """A box requests or renews the lease of a duty; no duty needs one at present."""
 
     duty: str
     holder: Incarnation
@@ -87,6 +104,9 @@
 class Usage(msgspec.Struct, frozen=True):
     """Resources used by one attempt of a request.
 
+    The rates and the spending of organisations are in
+    :class:`spanshunt.tables.usage.Usage`.
+
     Attributes
     ----------
     version : str
@@ -152,7 +172,7 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A box claims the right to run one keyed call.
+    """A box claims the right to run one keyed call, a request with a caller's key.
 
     Attributes
     ----------
--- a/src/spanshunt/tables/billing.py
+++ b/src/spanshunt/tables/billing.py
@@ -48,7 +48,7 @@
 
 
 class BillFold(msgspec.Struct):
-    """State folded from the bills stream.
+    """State folded from the bills stream, in the order of the log.
 
     Attributes
     ----------
--- a/src/spanshunt/tables/catalog.py
+++ b/src/spanshunt/tables/catalog.py
@@ -1,5 +1,8 @@
 """The catalog: routes, services and organisations of one catalog version.
 
+Boxes that run ``spanshunt.platform.node`` route by it. The configuration of
+``spanshuntd`` is in ``config.py``.
+
 A catalog is replaced as a whole and rows are never changed in place, so a request that
 holds a row keeps seeing the version that it was admitted under.
 """
@@ -93,7 +96,9 @@
 
 
 class ServiceRow(msgspec.Struct, frozen=True):
-    """One service.
+    """One service of the catalog.
+
+    The row of ``spanshuntd`` is :class:`~spanshunt.tables.config.ServiceRow`.
 
     Attributes
     ----------
@@ -118,7 +123,9 @@
 
 
 class OrgRow(msgspec.Struct, frozen=True):
-    """One organisation.
+    """One organisation of the catalog.
+
+    The row of ``spanshuntd`` is :class:`~spanshunt.tables.config.OrgRow`.
 
     Attributes
     ----------
@@ -148,7 +155,7 @@
 
 
 class Catalog(msgspec.Struct):
-    """One version of everything that operators declare.
+    """One version of all routes, services and organisations that operators declare.
 
     Attributes
     ----------
@@ -161,8 +168,8 @@
     by_credential : dict
         Organisations by credential; filled in by :func:`index_catalog`.
     highest_priority : dict
-        Lowest priority number of each service's routes; filled in by
-        :func:`index_catalog`.
+        Priority number of each service's most urgent route, which is the lowest number;
+        filled in by :func:`index_catalog`.
     """
 
     version: int
--- a/src/spanshunt/tables/claims.py
+++ b/src/spanshunt/tables/claims.py
@@ -1,4 +1,7 @@
-"""Claims of idempotency keys for calls that may run at most once."""
+"""Claims of idempotency keys for calls that may run at most once.
+
+A keyed call is a request to a plain service with an idempotency key of its caller.
+"""
 
 import enum
 
@@ -11,7 +14,11 @@
 
 
 class CallState(enum.Enum):
-    """Progress of a keyed call that this box has claimed."""
+    """Progress of a keyed call that this box has claimed.
+
+    A box gives a call up if it did not send it, or could not read its claim back from
+    the log in time. It then never sends the call and releases the claim.
+    """
 
     CLAIMED = "claimed"
     SENT = "sent"
@@ -50,7 +57,8 @@
     next_offset : int
         Offset of the first record that is not folded yet.
     caught_up : bool
-        Whether folding has started; it starts at the first record that the log holds.
+        Whether this box has read the stream up to its head since its start. Before
+        that it does not know all claims and claims no key itself.
     won : dict
         The winning claim by key, in log order.
     own : dict
--- a/src/spanshunt/tables/config.py
+++ b/src/spanshunt/tables/config.py
@@ -1,4 +1,9 @@
-"""The configuration in force; only folding the log changes its rows."""
+"""The configuration of ``spanshuntd``; only folding the log changes its rows.
+
+The catalog of a box that runs ``spanshunt.platform.node`` is in ``catalog.py``. Both
+modules have a ``ServiceRow`` and an ``OrgRow``; no process uses both, and ids such as
+`ServiceId` name the rows of its own process.
+"""
 
 import enum
 import typing as t
@@ -40,7 +45,10 @@
 
 
 class VersionState(enum.Enum):
-    """Lifecycle state of a version."""
+    """Lifecycle state of a version.
+
+    A version is withdrawn by an operator or because its roll-out is pulled back.
+    """
 
     DECLARED = "declared"
     ENTERING = "entering"
@@ -49,7 +57,10 @@
 
 
 class RolloutState(enum.Enum):
-    """Lifecycle state of a roll-out."""
+    """Lifecycle state of a roll-out.
+
+    A roll-out that is pulled back has ended, and its version is withdrawn.
+    """
 
     RUNNING = "running"
     DONE = "done"
@@ -76,7 +87,9 @@
 
 
 class ServiceRow(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A service.
+    """A service of the configuration.
+
+    The catalog's row is :class:`~spanshunt.tables.catalog.ServiceRow`.
 
     Attributes
     ----------
@@ -162,7 +175,9 @@
 
 
 class OrgRow(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An organisation.
+    """An organisation of the configuration.
+
+    The catalog's row is :class:`~spanshunt.tables.catalog.OrgRow`.
 
     Attributes
     ----------
@@ -234,7 +249,10 @@
 
 
 class RolloutRow(msgspec.Struct, frozen=True):
-    """A roll-out of one version.
+    """A roll-out of one version, started by a confirmed plan.
+
+    Boxes with a catalog have another row,
+    :class:`~spanshunt.tables.rollouts.RolloutRow`.
 
     Attributes
     ----------
@@ -275,10 +293,13 @@
 class LeaseRow(msgspec.Struct, frozen=True):
     """The lease of a duty that one box holds at a time.
 
+    Every box folds leases, but none requests one: roll-out steps and snapshots may be
+    made twice without harm.
+
     Attributes
     ----------
     duty : str
-        Name of the duty.
+        Name of the duty; any text.
     holder : str
         The incarnation that holds the lease.
     token : int
@@ -308,6 +329,25 @@
 
     Folding replaces rows and never changes a row in place. A reader may therefore keep
     a row across an ``await``, and must look it up again before acting on it.
+
+    Attributes
+    ----------
+    next_offset : int
+        Offset of the first configuration record that is not folded yet.
+    services, versions, orgs, rollouts : dict
+        Rows by name.
+    leases : dict
+        Leases by duty.
+    revisions : dict
+        Offset of the last change by object.
+    outcomes : dict
+        Offset of the record that confirmed a plan, by plan, whether it was accepted or
+        rejected. A second confirmation of the same plan has no effect; old plans are
+        forgotten.
+    conflicts : dict
+        For each rejected plan, the objects that changed after the plan was made.
+    history : list
+        The newest entries of the audit trail, oldest first.
     """
 
     next_offset: Offset = Offset(0)
--- a/src/spanshunt/tables/engines.py
+++ b/src/spanshunt/tables/engines.py
@@ -22,7 +22,7 @@
     Attributes
     ----------
     read_ms : float
-        Prefill time for one prompt token that is not cached, in ms.
+        Time to process (read) one prompt token that is not cached, in ms.
     base_ms : float
         Time to the first event without prefill, in ms.
     answers : int
--- a/src/spanshunt/tables/evidence.py
+++ b/src/spanshunt/tables/evidence.py
@@ -13,7 +13,9 @@
 from ..ids import VersionId
 
 EPOCH_MS = 60_000
-"""Length of the epochs in which evidence is counted, in ms of the wall clock."""
+"""Length of the epochs in which evidence is counted, in ms. Epochs are numbered by the
+wall clock and thus match on all boxes. ``rollouts.py`` has shorter epochs of its own,
+numbered from the start of a roll-out."""
 
 EPOCHS = 60
 """Number of epochs kept, which is one hour."""
--- a/src/spanshunt/tables/fleet.py
+++ b/src/spanshunt/tables/fleet.py
@@ -1,4 +1,13 @@
-"""All tables of a box that routes requests by the platform's catalog."""
+"""All tables of a box that routes requests by the platform's catalog.
+
+The process in ``spanshunt.platform.node`` holds a `Fleet`; ``spanshuntd``, the process
+in ``spanshunt.daemon``, holds a :class:`~spanshunt.tables.state.State` instead. No
+process has both. The two share only some rows, such as those of workers.
+
+All records come from the platform's store. The operators' stream, also called the
+operators' records, holds what operators declare and order; the workers' stream holds
+the entries of backend servers, and the newest entry of each is the workers' list.
+"""
 
 import collections
 
@@ -37,7 +46,7 @@
     incarnation : str
         The run of the peer's daemon at its last message.
     heard : int
-        When the peer last answered or called, in ms; -1 for never.
+        When the peer last answered this box or called it, in ms; -1 for never.
     asked : int
         When this box last called the peer, in ms.
     failures : int
@@ -52,8 +61,10 @@
     settings : PeerSettings
         Settings in force at the peer, as the peer reports them.
     followers : tuple of str
-        Boxes that follow the operators' records, reported by the first box of each
-        failure domain; empty if the peer is not the first.
+        The boxes of the failure domain that read the operators' records from the store
+        themselves; the others learn of new records from their peers. Only the box whose
+        name sorts first of those recently heard in its failure domain reports them, so
+        that all boxes there agree; empty from any other peer.
     """
 
     box: BoxId
@@ -71,7 +82,19 @@
 
 
 class TrafficSecond(msgspec.Struct):
-    """Numbers of requests and of repeated arrivals in one second of the clock."""
+    """Requests, and attempts of this box beyond the first, in one second.
+
+    Attributes
+    ----------
+    number : int
+        Number of the second on this box's clock.
+    requests : int
+        Requests that this box sent for the first time.
+    repeats : int
+        Further attempts that may have reached a worker: retries after failures and
+        second answers from a larger model, which share one retry budget. A request that
+        the caller sends again is a new request.
+    """
 
     number: int
     requests: int = 0
@@ -94,9 +117,20 @@
 
 
 class FirstByteTimes(msgspec.Struct):
-    """Usual time to the first byte, in ms, and usual prompt length, in tokens.
+    """Usual time to the first byte of a route's answers, with one model.
+
+    It is measured from the sending of an attempt to the head of its answer. The same
+    measurement also feeds the time to an engine's first event in `PrefillSpeed`.
 
-    Both are moving means over ``answers`` answers.
+    Attributes
+    ----------
+    first_ms : float
+        Moving mean of that time, in ms.
+    read : float
+        Moving mean of the prompt length, in tokens; longer prompts are allowed a
+        proportionally longer time.
+    answers : int
+        Number of answers in the means.
     """
 
     first_ms: float = 0.0
@@ -133,12 +167,15 @@
 
 
 class ColdBounds(msgspec.Struct, frozen=True):
-    """Bounds of the requests that a cold worker may get from all boxes.
+    """Bounds of the requests that a cold worker may get from all boxes together.
+
+    The bound is ``rate_factor`` times the rate that the catalog declares for a cold
+    worker, plus ``slack``.
 
     Attributes
     ----------
     rate_factor : float
-        Allowed multiple of the rate that a cold worker can take.
+        Allowed multiple of that rate (``cold_per_s`` of the service).
     slack : float
         Requests a second allowed in addition.
     """
@@ -158,6 +195,8 @@
         When the last call failed, in ms; -1 for never.
     era : int
         How often the store was restored from a copy, by its own count; -1 if unknown.
+        The store gives out its own offsets again after a restore. An `Offset` of this
+        program contains the era, so that one of a later era is always greater.
     era_began : int
         When this box learned of the last restore, in ms; -1 for none.
     """
@@ -171,6 +210,8 @@
 class CatalogProof(msgspec.Struct, frozen=True):
     """Proof that the known catalog was the newest at some time.
 
+    ``spanshuntd`` has another measure for the same purpose, ``State.fresh_at``.
+
     Attributes
     ----------
     at : int
@@ -189,6 +230,10 @@
 class ListReadStreak(msgspec.Struct):
     """Time span in which boxes read the workers' list without a gap.
 
+    Two reads more than 1.5 s apart leave a gap. Workers' entries may have expired while
+    no box could read the list, so a worker that is absent soon after a gap is kept for
+    a grace period.
+
     Attributes
     ----------
     since, last : int
@@ -200,7 +245,10 @@
 
 
 class Fleet(msgspec.Struct):
-    """All state that routing decisions are based on.
+    """All tables of a box that routes by the platform's catalog.
+
+    It is the counterpart of :class:`~spanshunt.tables.state.State`; see the module's
+    text.
 
     Attributes
     ----------
@@ -215,8 +263,9 @@
     catalog_proof : CatalogProof
         Proof that the catalog is the newest.
     preceding_box_proof_at : int
-        Time of the newest catalog proof reported from a box whose name sorts before
-        this one, in ms; -1 for never.
+        Time of the newest catalog proof made by a box whose name sorts before this
+        box's name, in ms; -1 for never. The first box by name renews the proof for all,
+        so this box leaves that to others while this time is recent.
     long_poll_since : int
         Start of this box's pending long poll for operators' records, in ms; -1 for
         none.
@@ -257,14 +306,14 @@
     regions : dict
         Region of each failure domain, from the settings.
     rollouts : Rollouts
-        Roll-out orders and their evidence.
+        Roll-outs that operators ordered, and their evidence.
     traffic : dict
         Numbers of requests and repeats by service.
     models : dict
         Statistics by model.
     repeat_prices : dict
-        Shadow price of repeating a request for quality, by service, in the catalog's
-        price unit; above 0 while the retry budget is nearly used up.
+        Shadow price of asking a larger model for a second answer, by service, in the
+        catalog's price unit; above 0 while the retry budget denies such second answers.
     first_byte_times : dict
         Usual times to the first byte by route name and model ("" where it has none).
     prefill_speeds : dict
@@ -277,10 +326,14 @@
     recent_prefills : deque of RecentPrefill
         The newest prompts that this box sent to engines not known to have them cached.
     lateness : dict
-        Mean lateness of the newest answers, in 0 to 1, by service.
+        Moving mean of the lateness of answers, by service. The lateness of one answer
+        is 0 if its first event comes early against the route's target latency, 1 from
+        the target on, and rises linearly between.
     gain_per_engine_ms : dict
-        Usual value gained by a larger model's answer for each ms of engine time, by
-        service, in the catalog's price unit.
+        Usual value that the largest model's answer adds to the smallest one's, for each
+        ms of estimated time to its first event without waiting, by service, in the
+        catalog's price unit. The value added is the worth of a good answer times the
+        rise of the likelihood of one, for which a minimum is assumed.
     store : StoreHealth
         Health of the platform's store.
     wake_hold_until : int
--- a/src/spanshunt/tables/members.py
+++ b/src/spanshunt/tables/members.py
@@ -30,7 +30,10 @@
         Offset of the first configuration record that the peer has not folded.
     witnessed_at : int
         Send time of the latest exchange that the peer answered as a witness, directly
-        or through another peer, in ms of the monotonic clock; -1 for none.
+        or through another peer, in ms of the monotonic clock; -1 for none. At that time
+        the peer had no configuration record that this box lacks now. If a majority of
+        the listed boxes did so, the configuration of this box was current. See
+        ``Exchange.witness``.
     answered_at : int
         Send time of the latest exchange with this box that the peer answered, as a
         witness or not, in ms of the monotonic clock; -1 for none.
@@ -58,7 +61,7 @@
     rows : dict
         Peers by box.
     listed : frozenset of str
-        Router boxes on the platform's list, including this box.
+        Router boxes on the platform's list of boxes and workers, including this box.
     """
 
     rows: dict[BoxId, MemberRow] = {}
--- a/src/spanshunt/tables/notices.py
+++ b/src/spanshunt/tables/notices.py
@@ -24,7 +24,7 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """Notices about its worker in one answer, apart from the load.
+    """All notices of a worker about itself in one answer, apart from its load.
 
     Attributes
     ----------
--- a/src/spanshunt/tables/preferences.py
+++ b/src/spanshunt/tables/preferences.py
@@ -1,4 +1,9 @@
-"""Cache of recently computed preferences, which spares requests the computation."""
+"""Cache of preferences: which versions should answer a request class.
+
+A preference says, for the requests of one organisation and class, which version most of
+them run on and which cheaper one is tried. It is computed from the evidence. The cache
+itself works for values of any kind.
+"""
 
 import typing as t
 
--- a/src/spanshunt/tables/rollouts.py
+++ b/src/spanshunt/tables/rollouts.py
@@ -1,4 +1,9 @@
-"""Roll-outs of versions ordered by the platform's operators, and their evidence."""
+"""Roll-outs of versions ordered by the platform's operators, and their evidence.
+
+An order is an operator's record in the store that moves a service to a version. Each
+order starts one roll-out. The roll-outs that ``spanshuntd`` folds from the log are
+other rows, in ``config.py``.
+"""
 
 import enum
 
@@ -13,13 +18,20 @@
 from ..ids import WorkerIncarnation
 
 EPOCH_MS = 1_000
-"""Length of the epochs in which answers are counted, in ms. The change test needs a few
-epochs to detect a version that turns bad later, and at the smallest fleets one second
-still holds a few answers of a canary."""
+"""Length of the epochs in which answers are counted, in ms. The test that detects a
+change for the worse (Shiryaev-Roberts) needs a few epochs to detect a version that
+turns bad later, and at the smallest fleets one second still holds a few answers of an
+entering version that gets a small share. ``evidence.py`` has longer epochs of its
+own."""
 
 
 class Verdict(enum.Enum):
-    """State or outcome of a roll-out."""
+    """State or outcome of a roll-out.
+
+    A rolled back version gets no more requests. The counterpart in ``spanshuntd`` is
+    :class:`~spanshunt.tables.config.RolloutState`, where such a roll-out is called
+    pulled back.
+    """
 
     RUNNING = "running"
     SUCCEEDED = "succeeded"
@@ -27,7 +39,12 @@
 
 
 class Finding(enum.Enum):
-    """Kinds of faults of an answer: it failed, or its first byte came late."""
+    """Kinds of faults of an answer: it failed, or it was late.
+
+    An answer is late if its first byte or its events come several times slower than
+    usual. The counts of one kind of fault on one route are tested together; a test
+    whose statistic is high is a suspicion against the entering version.
+    """
 
     FAILED = "failed"
     SLOW = "slow"
@@ -80,7 +97,8 @@
 class TallyKey(msgspec.Struct, frozen=True):
     """Key of a tally: a route, the leaving or the entering version, and an epoch.
 
-    Epochs are numbered from when the counting box first saw the order.
+    Epochs are numbered from the start of the roll-out, ``RolloutRow.began``. Boxes
+    report that time to each other, so that the same epoch is the same time on all.
     """
 
     route: str
@@ -120,7 +138,8 @@
     finding : Finding
         Kind of fault.
     log_evidence : float
-        Natural log of the change statistic.
+        Natural log of the Shiryaev-Roberts statistic for a rise of the share of faulty
+        answers. While a roll-out runs, the version is held to be bad from 5 on.
     epoch : int
         The epoch up to which answers were counted.
     """
@@ -132,14 +151,24 @@
 
 
 class RolloutRow(msgspec.Struct):
-    """One order to move a service to a version.
+    """One order to move a service to a version, and the roll-out that it started.
+
+    While the roll-out runs, `announced` is set. Once this box judges it successful,
+    `succeeded_since` is set; the verdict follows when it is `recorded`, by this box or
+    by another one. A rollback takes effect at once and is recorded afterwards. If the
+    version turns bad after its success, `turned_bad_reason` is set, and then
+    `rollback_recorded` if workers of other versions are left. After a restore of the
+    store, `announced`, `recorded` and `rollback_recorded` may be unset again.
+    :class:`~spanshunt.tables.config.RolloutRow` is the row of the same name in
+    ``spanshuntd``.
 
     Attributes
     ----------
     service, version : str
         The service, and the version that it moves to.
     order : int
-        Offset in the operators' stream at which the order was first known.
+        Offset in the operators' stream at which the order was first known. With the
+        service it identifies the order, and sessions are drawn by it.
     duration_ms : int
         How long the roll-out may take, in ms.
     began : int
@@ -156,17 +185,17 @@
     recorded : bool
         Whether the verdict is known to be recorded in the platform's store.
     announced : bool
-        Whether the start of the roll-out is known to be recorded there.
+        Whether the start of the roll-out is known to be recorded in the store.
     recorded_suspicion : RecordedSuspicion or None
         The suspicion recorded in the platform's store; None for none.
     suspected_at : int
         Since when this box has a stronger suspicion than the recorded one, in ms; -1
         for none.
     judged_at : int
-        When this box learned of the verdict, in ms.
+        When this box reached the verdict or learned of it, in ms.
     succeeded_since : int
-        Since when this box judges the version successful without a recorded verdict, in
-        ms; -1 for not.
+        Since when this box judges the version successful while no verdict is recorded,
+        in ms; -1 for not.
     turned_bad_reason : str
         Evidence that the version turned bad after its success, as text for operators;
         empty for none.
@@ -175,20 +204,25 @@
     rollback_recorded : bool
         Whether the rollback after `turned_bad_reason` is known to be recorded.
     extra : float
-        Share of the order's requests that the entering version may get on top of the
-        allowed share, derived from the allowed number of requests.
+        Share of the order's requests that the entering version may get in addition to
+        ``ExposureBounds.share``. It is a part of ``ExposureBounds.slack``, divided by
+        the estimated number of requests of the order; boxes take the greatest value.
     full_from_ms : int
-        Postponed age of the order at which all requests move to the entering version,
-        in ms; 0 if it was not postponed.
+        Postponed age of the order, counted from `began`, at which all requests move to
+        the entering version, in ms. A box postpones it if this step would exceed the
+        exposure bounds or while the version is suspected. The planned age applies if it
+        is later; 0 if the step was not postponed.
     barred : frozenset of str
         Versions that were rolled back in earlier orders; their workers may still be
         listed.
     newest_order : int
-        The order's newest offset in the stream, as the order may be written again after
-        the store was restored from a copy. Another order with a greater offset replaces
-        this row.
+        The order's newest offset in the stream. It differs from `order` if the order
+        was written again after the store was restored from a copy. Another order with a
+        greater offset replaces this row.
     before : int
-        The newest offset of the order that this one replaced; -1 for none.
+        The newest offset of the order that this one replaced; -1 for none. After a
+        restore of the store, it tells an older order that the store still holds from a
+        newer one.
     own : Tallies
         Tallies of this box.
     same_domain : dict
@@ -234,7 +268,17 @@
 
 
 class ExposureBounds(msgspec.Struct, frozen=True):
-    """Bounds of a bad version's requests: a share of the order's, and a number."""
+    """Bounds of the requests that a bad version may get from all boxes together.
+
+    Of one order's requests it may get ``share`` times their number plus ``slack``.
+
+    Attributes
+    ----------
+    share : float
+        Share of the order's requests, in 0 to 1.
+    slack : float
+        Number of requests allowed in addition.
+    """
 
     share: float = 0.15
     slack: float = 0.0
--- a/src/spanshunt/tables/sessions.py
+++ b/src/spanshunt/tables/sessions.py
@@ -1,4 +1,8 @@
-"""Version pins of sessions whose callers send only a session id (soft state)."""
+"""Version pins of sessions whose callers send only a session id (soft state).
+
+Other callers send the signed session token that an earlier answer gave them, which
+contains the pins of the session.
+"""
 
 import msgspec
 
--- a/src/spanshunt/tables/settings_state.py
+++ b/src/spanshunt/tables/settings_state.py
@@ -1,4 +1,8 @@
-"""The settings in force at a box, as reported to operators and to other boxes."""
+"""The settings in force at a box, as reported to operators and to other boxes.
+
+Settings are in force if the process works by them. A changed settings file may be
+refused, and some of its fields take effect only at the next start.
+"""
 
 import msgspec
 
--- a/src/spanshunt/tables/state.py
+++ b/src/spanshunt/tables/state.py
@@ -1,4 +1,13 @@
-"""All tables of one daemon."""
+"""All tables of one ``spanshuntd``, the process in ``spanshunt.daemon``.
+
+A box that runs ``spanshunt.platform.node`` holds a
+:class:`~spanshunt.tables.fleet.Fleet` instead. No process has both.
+
+All records come from the platform's log, in the streams that
+:class:`~spanshunt.records.Stream` names. Folding is to apply the records of a stream to
+the tables one after the other, in the order of the log. The function depends on nothing
+but the records, so every box that folds the same records has the same tables.
+"""
 
 import collections
 
@@ -25,7 +34,10 @@
 
 
 class SuspendedRow(msgspec.Struct):
-    """A version that is not used, although its withdrawal is not on the log yet.
+    """A version that this box does not use, although its withdrawal is not folded yet.
+
+    A box suspends a version as soon as it decides to pull back its roll-out, and tells
+    its peers. The record of that step then withdraws the version on every box.
 
     Attributes
     ----------
@@ -48,16 +60,21 @@
 class State(msgspec.Struct):
     """All tables, and the few values that belong to none of them.
 
+    It is the counterpart of :class:`~spanshunt.tables.fleet.Fleet`; see the module's
+    text.
+
     Attributes
     ----------
     identity : Identity
         Identity of this daemon.
     recent_records : deque of LogRecord
-        The configuration records that were folded last.
+        The configuration records that were folded last, for sending to peers.
     started : int
         When this run of the daemon began, in ms of the monotonic clock.
     fresh_at : int
-        When the configuration was last known to be current, in ms; -1 for never.
+        When the configuration was last known to be current, in ms; -1 for never. A read
+        of the log up to its head, a peer that was fresh, or answers of a majority of
+        the listed boxes proves it.
     heartbeat : int
         This box's heartbeat counter.
     stopping : bool
--- a/src/spanshunt/tables/suspects.py
+++ b/src/spanshunt/tables/suspects.py
@@ -1,4 +1,8 @@
-"""Request contents that were at a worker when it ended."""
+"""Request contents that workers were processing when they ended.
+
+A worker has ended if it refuses connections after one broke, or if another run or
+another worker is found at its address or under its id.
+"""
 
 import msgspec
 
@@ -10,8 +14,9 @@
 from ..ids import WorkerIncarnation
 
 CLEARED_MS = 60_000
-"""How long a complete answer clears a content, in ms. A content that crashes workers is
-never answered, while a harmless frequent one meets ending workers by chance."""
+"""How long a complete answer clears a content, in ms: ends up to this time after it do
+not count either. A content that crashes workers is never answered, while a harmless
+frequent one meets ending workers by chance."""
 
 
 class BrokenConnection(msgspec.Struct, frozen=True):
@@ -46,12 +51,15 @@
     versions : set of str
         Versions that these workers ran.
     cleared_at : int
-        When a worker last answered the content completely and went on running, or an
-        operator released the content, in ms; -1 for never. Earlier ends do not count.
+        When a worker last answered the content completely and went on running, in ms;
+        -1 for never. Ends up to `CLEARED_MS` after it do not count. An operator's
+        release sets it `CLEARED_MS` before the release, so that ends right after a
+        release count again.
     shared : bool
-        Whether this row is sent to other boxes. It is not while the request is still
-        being retried here, as most requests that lose a worker are answered by the next
-        one.
+        Whether this row is sent to other boxes. It is set once the request is over
+        without a complete answer, once a second end counts, or once other boxes or an
+        operator know the content, and never unset. Before that the next worker mostly
+        answers the request, and the row is deleted.
     changed_at : int
         When this row last changed, in ms.
     quarantined_by : str
@@ -83,5 +91,5 @@
         return {run: at for run, at in self.ends.items() if at > since}
 
     def last_end(self) -> Millis:
-        """Return when a worker last ended under the content, in ms; -1 for never."""
+        """Return when a worker last ended with the content, in ms; -1 for never."""
         return max(self.ends.values(), default=Millis(-1))
--- a/src/spanshunt/tables/usage.py
+++ b/src/spanshunt/tables/usage.py
@@ -80,7 +80,11 @@
 
 
 class Usage(msgspec.Struct):
-    """All usage known to this box: its own, and peers' by origin and organisation."""
+    """All usage known to this box: its own, and peers' by origin and organisation.
+
+    The tokens and the cost of one attempt are in :class:`spanshunt.records.Usage`; the
+    cost of a request's attempts is added to ``OwnUsage.spent``.
+    """
 
     own: dict[OrgId, OwnUsage] = {}
     heard: dict[tuple[str, OrgId], PeerUsage] = {}
--- a/src/spanshunt/tables/workers.py
+++ b/src/spanshunt/tables/workers.py
@@ -20,7 +20,11 @@
 
 
 class WorkerState(enum.Enum):
-    """Whether a worker gets new requests."""
+    """Whether a worker gets new requests.
+
+    ``EJECTED`` is set in ``spanshuntd`` only. Boxes with a catalog go by
+    ``WorkerRow.ejected_until`` alone.
+    """
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -33,7 +37,7 @@
     Attributes
     ----------
     name : str
-        ``host:port``, or the id of this run of the worker if runs have ids.
+        ``host:port`` in ``spanshuntd``; else the id under which the worker is listed.
     address : str
         ``host:port``; empty if the name is the address.
     service : str
@@ -43,7 +47,8 @@
     versions : frozenset of str
         Versions that the worker has loaded.
     state : WorkerState
-        Whether the worker gets new requests.
+        Whether the worker gets new requests. A worker that is ``LEAVING`` here or in
+        ``Workers.leaving`` gets none.
     inflight : int
         Exact number of requests of this box that the worker is answering.
     reported : int
@@ -57,9 +62,11 @@
     failures : int
         Consecutive failures since the last success.
     ejected_until : int
-        Until when the worker is ejected, in ms.
+        Until when the worker is ejected, in ms. An ejected worker gets requests only if
+        no other worker is left.
     ttft_ms : float
-        Moving mean of the time to the first byte, in ms.
+        Moving mean of the time to the first byte of answers, in ms; in ``spanshuntd``
+        to the first token.
     token_ms : float
         Moving mean of the time between tokens, in ms.
     error_rate : float
@@ -87,10 +94,11 @@
         When this run of the worker began, in ms since the Unix epoch, as the worker
         reports; 0 if it does not.
     ended_at : int
-        When this box found that the worker ended, in ms; -1 while it runs.
+        When this box found that the worker ended, in ms; -1 while it runs. A worker
+        that answers after that counts as a new run.
     return_count : int
-        How often the worker answered again after an end without a list entry for
-        another run.
+        How often the worker answered again after this box had found that it ended. The
+        list need not show a restart, so each time counts as a new run here.
     cold_until : int
         Until when the worker is cold after its start, in ms.
     listed_cold : bool
@@ -104,11 +112,11 @@
     notices_since : int
         Notices that arrived before this time are of an earlier run, in ms.
     leaving : LeavingNotice or None
-        Notice that the worker leaves; None without one.
+        The worker's own notice that it leaves, one cause of leaving; None without one.
     rest : RestPeriod or None
         The longest rest that the worker asked this box for; None for none.
     listed_leaving : bool
-        Whether its entry in the list says that the worker leaves.
+        Whether its entry in the list says that the worker leaves, another cause.
     invalid_notices : set of NoticeKind
         Kinds of invalid notices that were logged for the worker.
     """
@@ -158,7 +166,11 @@
 
     @property
     def incarnation(self) -> WorkerIncarnation:
-        """Identifies this run of the worker, as a name may be reused by a later run."""
+        """Identifies this run of the worker, as a name may be reused by a later run.
+
+        It is the name, with the start time of the run if the worker reports one and the
+        number of returns if there were any.
+        """
         start_suffix = f"/{self.born}" if self.born else ""
         return_suffix = f"+{self.return_count}" if self.return_count else ""
         return WorkerIncarnation(f"{self.name}{start_suffix}{return_suffix}")
@@ -172,9 +184,11 @@
     rows : dict
         Workers by name.
     leaving : set
-        Workers that are leaving, by any evidence.
+        Workers that are leaving by any evidence, such as a notice, a list entry or the
+        report of a peer; they get no new requests.
     ejected : set
-        Workers that are ejected because they failed too often.
+        Workers that may be in the state ``EJECTED``, to find those whose ejection is
+        over; used in ``spanshuntd`` only.
     index : dict
         Workers by service and version, and by service with version None; see
         :meth:`find_capable`.
