--- a/src/spanshunt/systems/blaming.py
+++ b/src/spanshunt/systems/blaming.py
@@ -1,4 +1,4 @@
-"""How far pooled answers speak against an entering version, and what they rest on."""
+"""Evidence of the pooled answers against an entering version, and what it rests on."""
 
 import math
 import typing as t
@@ -21,37 +21,40 @@
 from .tallies import trials_by_epoch
 
 EVIDENCE_THRESHOLD = 5.0
-"""Natural log of the change statistic at which a version is bad: a sound version
-reaches it about once in 150 epochs for each series looked at."""
+"""Natural log of the change statistic at which a version is bad. A good version reaches
+it about once in 150 epochs, for each series tested."""
 
 HOLD_PART = 0.4
-"""Part of that evidence from which on a version neither gets all requests nor succeeds
-until more answers decide: beside ailing engines of the leaving version, evidence that
-is not enough yet is often that of a bad one."""
+"""Part of the threshold from which on a version neither gets all requests nor succeeds
+until more answers decide. Beside failing engines of the leaving version, evidence below
+the threshold is often that of a bad version."""
 
 OTHER_WORKERS_FAULTS, OTHER_WORKERS_ANSWERS = 2, 4
-"""Bad answers that a version must give beyond those of its worst worker, once the
-others gave so many answers: a version that fails half shows that in most cases."""
+"""Faulty answers that a version must give outside its worst worker, once the other
+workers gave so many answers. A version that fails half of its answers does so in most
+cases."""
 
 PEER_LIVE_MS = 2_000
-"""A peer not heard for this long is not counted on to record a verdict, in ms."""
+"""Time without a message after which a peer is not expected to record a verdict, in
+ms."""
 
 
 class Suspicion(t.NamedTuple):
-    """How far answers speak against an entering version.
+    """Evidence against an entering version.
 
     Attributes
     ----------
     route : str
-        The route that they were on; empty for all.
+        The route of the answers; empty for all routes.
     finding : Finding
-        What was wrong with them.
+        Kind of fault.
     answers, faulty : int
         All answers of the version there, and those with this fault.
     usual, ceiling : float
-        Share of the leaving version's answers with it, and share that is still sound.
+        Share of the leaving version's answers with this fault, and greatest share that
+        is still good.
     log_evidence : float
-        Natural log of the change statistic; minus infinity for nothing at all.
+        Natural log of the change statistic; minus infinity for no evidence.
     """
 
     route: str
@@ -64,7 +67,7 @@
 
     @property
     def is_proven(self) -> bool:
-        """Whether the version is bad."""
+        """Whether the version is proven bad."""
         return self.log_evidence >= EVIDENCE_THRESHOLD
 
     @property
@@ -74,7 +77,7 @@
 
     @property
     def reason(self) -> str:
-        """The evidence, for people."""
+        """The evidence, as text for operators."""
         where = f"route {self.route}" if self.route else "all routes"
         return (
             f"{where}: {self.faulty} of {self.answers} answers {self.finding.value}, "
@@ -90,9 +93,9 @@
     entering, leaving : int
         Answers of both versions that this box knows of.
     suspicion : Suspicion
-        The strongest one against the entering version.
+        The strongest suspicion against the entering version.
     heard, boxes : int
-        Boxes heard of late, this one among them, and all that are known.
+        Number of boxes heard recently and of all known boxes, both including this one.
     """
 
     entering: int
@@ -103,25 +106,25 @@
 
 
 def strongest_suspicion(
-    tallies: Tallies, full_ms: int, against: RecordedSuspicion | None = None
+    tallies: Tallies, full_ms: int, recorded: RecordedSuspicion | None = None
 ) -> Suspicion:
     """Return the strongest suspicion against the entering version, on any route.
 
     Parameters
     ----------
     tallies : Tallies
-        The answers that are known.
+        The known answers.
     full_ms : int
-        The order's age from which on all requests may enter, in ms.
-    against : RecordedSuspicion or None
-        A suspicion that was recorded: it counts where the answers that it rests on are
-        not known here, as after all boxes ended.
+        Age of the order from which on all requests may enter, in ms.
+    recorded : RecordedSuspicion or None
+        The recorded suspicion. It counts only if the answers that it rests on are not
+        known here, as after a restart of all boxes.
     """
     routes = {key.route for key in tallies.routes} | {""}
-    if against is not None and _has_recorded_answers(tallies, against):
-        against = None
-    if against is not None:
-        routes.add(against.route)
+    if recorded is not None and _has_recorded_answers(tallies, recorded):
+        recorded = None
+    if recorded is not None:
+        routes.add(recorded.route)
     full_epoch = full_ms // EPOCH_MS
     found = [
         _suspicion(
@@ -129,7 +132,7 @@
             route,
             finding,
             full_epoch,
-            _recorded_log_evidence(against, route, finding),
+            _recorded_log_evidence(recorded, route, finding),
         )
         for route in sorted(routes)
         for finding in Finding
@@ -137,18 +140,18 @@
     return max(found, key=lambda item: item.log_evidence)
 
 
-def _has_recorded_answers(tallies: Tallies, against: RecordedSuspicion) -> bool:
-    """Tell whether answers are known that a recorded suspicion rests on."""
-    return any(key.entering and key.epoch < against.epoch for key in tallies.routes)
+def _has_recorded_answers(tallies: Tallies, recorded: RecordedSuspicion) -> bool:
+    """Return whether any answers that the recorded suspicion rests on are known."""
+    return any(key.entering and key.epoch < recorded.epoch for key in tallies.routes)
 
 
 def _recorded_log_evidence(
-    against: RecordedSuspicion | None, route: str, finding: Finding
+    recorded: RecordedSuspicion | None, route: str, finding: Finding
 ) -> float:
-    """Return the log of the statistic that a recorded suspicion begins with."""
-    if against is None or (against.route, against.finding) != (route, finding):
+    """Return the log statistic that the recorded suspicion gives a series to start."""
+    if recorded is None or (recorded.route, recorded.finding) != (route, finding):
         return -math.inf
-    return against.log_evidence
+    return recorded.log_evidence
 
 
 def current_suspicion(fleet: Fleet, row: RolloutRow) -> Suspicion:
@@ -159,7 +162,7 @@
 
 
 def summarise_evidence(fleet: Fleet, row: RolloutRow, now: Millis) -> EvidenceSummary:
-    """Return what a judgement of an order rests on now."""
+    """Return what a judgement of an order rests on at this time."""
     tallies = pooled_tallies(row)
     return EvidenceSummary(
         entering=count_answers(tallies, entering=True),
@@ -171,7 +174,7 @@
 
 
 def live_peers(fleet: Fleet, now: Millis) -> list[BoxId]:
-    """Return the peers that were heard of late."""
+    """Return the peers that were heard recently."""
     return [
         peer.box
         for peer in fleet.peers.values()
@@ -182,7 +185,7 @@
 def _suspicion(
     tallies: Tallies, route: str, finding: Finding, full_epoch: int, start: float
 ) -> Suspicion:
-    """Return what speaks against the entering version on a route ("" for all)."""
+    """Return the suspicion against the entering version on a route ("" for all)."""
     reference = build_reference(tallies, route, finding, full_epoch)
     epochs = trials_by_epoch(tallies, route, finding, entering=True)
     faulty = sum(faults for _, faults in epochs.values())
@@ -205,9 +208,10 @@
 
 
 def _is_fault_of_version(tallies: Tallies, finding: Finding) -> bool:
-    """Tell whether faults are the version's: not those of one ailing worker of it.
+    """Return whether the faults are the version's and not those of one failing worker.
 
-    Where its other workers gave too few answers to tell, they are.
+    If the other workers gave too few answers to tell, the faults count as the
+    version's.
     """
     entering = [tally for key, tally in tallies.workers.items() if key.entering]
     if not entering:
--- a/src/spanshunt/systems/exposing.py
+++ b/src/spanshunt/systems/exposing.py
@@ -1,7 +1,7 @@
-"""How much an entering version gets: shares by an order's age, within its bounds.
+"""Shares of an entering version: by the age of its order, within the exposure bounds.
 
-What a bad version may get of an order's requests is a share of them and a number. The
-steps keep both, whether the version shows that it is bad or not.
+The bounds limit what a bad version may get of an order's requests: a share of them and
+an absolute number. The steps keep both, whether or not the version shows faults.
 """
 
 import typing as t
@@ -17,65 +17,69 @@
 from .tallies import pooled_tallies
 
 HALF = 0.5
-"""Part of the order's time from which requests of no session get their second share."""
+"""Part of the order's time after which requests without a session get the second
+share."""
 
 SESSIONS_FROM = 0.52
-"""Part of the order's time from which sessions enter. They must keep their version in
-the first half, and only the box that answered a session knows what it ran on: so none
-enters before all boxes agree that the half is over. The margin is for boxes that see an
-order some tenths of a second apart."""
+"""Part of the order's time after which sessions enter. Sessions must keep their version
+in the first half, and only the box that answered a session knows which version it ran
+on, so no session may enter before all boxes agree that the first half is over. The
+margin covers boxes that see an order some tenths of a second apart."""
 
 FULL_PHASE_PART, FULL_PHASE_MAX_MS = 0.48, 3_000
-"""Part of what a version may get that is left for the time in which it gets all
-requests, at the end, and how long that is at most, in ms. A
-version that is bad under this load alone, or turns bad late, shows it then; a longer
-order needs no more of it."""
+"""Part of the exposure that is reserved for the full phase, at the end, in which the
+version gets all requests, and the longest full phase in ms. A version that is bad only
+under this load, or that turns bad late, shows it then; a longer order does not need a
+longer full phase."""
 
 POSTPONE_FROM_MS, POSTPONE_UNTIL_MS = 1_500, 700
-"""How long before that time boxes look whether it would give a version too many
-requests, in ms: by the end of it they have had two rounds of news to agree."""
+"""How long before the planned full phase boxes check whether it would exceed the
+bounds, from and until, in ms. By the end of this window, boxes have exchanged messages
+twice and can agree."""
 
 FULL_PHASE_MIN_MS = 500
-"""A shorter last step would be over before its answers are known, in ms: it then waits
-until the order's time is over."""
+"""Shortest full phase, in ms: a shorter one would end before its answers are known, so
+the full phase then starts only when the order's time is over."""
 
 POSTPONE_SLACK_PART = 0.85
-"""Part of the allowed number of requests that is counted on then. The steps leave 0.4
-of it, which chance in the sessions' sizes needs on calm days."""
+"""Part of the allowed number of requests that may be used when the full phase is
+checked. The steps leave 0.4 of it unused, which the random sizes of sessions need even
+on days without trouble."""
 
 SECOND_STEP_FACTOR = 2.0
-"""How many times its first share the second is: what turns bad late shows, too."""
+"""Ratio of the second share to the first, so that a version that turns bad late also
+gets enough requests to show it."""
 
 USED_SHARE_PART, USED_SLACK_PART = 0.96, 0.5
-"""Parts of the share and of the number of requests that a bad version may get which the
-steps use up. The slack is held against a rate of requests that is a guess."""
+"""Parts of the allowed share and of the allowed number of requests that the steps use.
+The rest of the number is a margin, as it is divided by an estimated request rate."""
 
 RATE_FROM, RATE_UNTIL = 0.4, 0.46
-"""Parts of the order's time between which the rate of requests is looked at: boxes have
-counted for some seconds, and have two rounds of news left to agree before sessions
-enter by it. Where they don't agree, a session that one box moves comes back at
-another."""
+"""Parts of the order's time between which the request rate is measured. By then, boxes
+have counted for some seconds, and they can still exchange messages twice before
+sessions enter by the result. If boxes disagree, a session that one box moves comes back
+at another."""
 
 RATE_WINDOW_S = 6
-"""Newest whole seconds that the rate of requests is taken from."""
+"""Number of latest whole seconds over which the request rate is measured."""
 
 MAX_EXTRA = 0.08
-"""Most that the allowed number of requests adds to the share: a rate that is taken for
-too low does no more harm than that."""
+"""Most that the allowed number of requests adds to the share. It limits the harm of a
+request rate that is estimated too low."""
 
 
 class ExposureSteps(t.NamedTuple):
-    """Shares of requests that the entering version gets, and when it gets all.
+    """Shares of requests that the entering version gets, and when it gets all of them.
 
     Attributes
     ----------
     first, second : float
-        Of requests of no session, in the first half of the order's time and from then
-        on.
+        Shares of the requests without a session, in the first half of the order's time
+        and after it.
     sessions : float
-        Of sessions, from ``SESSIONS_FROM`` on.
+        Share of the sessions, from ``SESSIONS_FROM`` on.
     full_at : float
-        From which part of the order's time on it gets all.
+        Part of the order's time after which the version gets all requests.
     """
 
     first: float
@@ -85,7 +89,7 @@
 
 
 def full_phase_part(bounds: ExposureBounds, duration_ms: int) -> float:
-    """Return the last part of an order's time, in which all requests may enter."""
+    """Return the length of the full phase, as a part of the order's time."""
     part = FULL_PHASE_PART * USED_SHARE_PART * bounds.share
     return min(part, FULL_PHASE_MAX_MS / max(1, duration_ms))
 
@@ -93,25 +97,26 @@
 def compute_steps(
     bounds: ExposureBounds, extra: float, duration_ms: int
 ) -> ExposureSteps:
-    """Return steps that keep within the bounds, whether the version shows bad or not.
+    """Return steps that keep the bounds, whether or not the version shows faults.
 
-    Each kind of requests keeps them by itself, so that any mix does.
+    Requests with and without a session each keep the bounds, so any mix of them does.
 
     Parameters
     ----------
     bounds : ExposureBounds
-        What a bad version may get of the order's requests.
+        Bounds of what a bad version may get of the order's requests.
     extra : float
-        What the allowed number of requests adds to the share, as a part of them.
+        What the allowed number of requests adds to the share, as a part of the
+        requests.
     duration_ms : int
         How long the order may take, in ms.
     """
     share = USED_SHARE_PART * bounds.share
     full = full_phase_part(bounds, duration_ms)
     full_at = 1.0 - full
-    later = full_at - HALF
-    first = (share - full) / (HALF + SECOND_STEP_FACTOR * later)
-    second = SECOND_STEP_FACTOR * first + extra / later
+    second_part = full_at - HALF
+    first = (share - full) / (HALF + SECOND_STEP_FACTOR * second_part)
+    second = SECOND_STEP_FACTOR * first + extra / second_part
     sessions = (share - full + extra) / (full_at - SESSIONS_FROM)
     return ExposureSteps(min(1.0, first), min(1.0, second), min(1.0, sessions), full_at)
 
@@ -122,24 +127,25 @@
 
 
 def full_from_ms(fleet: Fleet, row: RolloutRow) -> int:
-    """Return from which age of an order on all requests enter, in ms.
+    """Return the age of an order from which on all requests enter, in ms.
 
-    Where that would give a bad version too many, later, or only when the order's time
-    is over: what a version may get is counted until then.
+    The age is greater than planned, up to the whole time of the order, if the full
+    phase would give a bad version too many requests: the bounds cover the order's time
+    only.
     """
     planned = int(order_steps(fleet, row).full_at * row.duration_ms)
     return max(planned, row.full_from_ms)
 
 
 def extra_share(bounds: ExposureBounds, requests: float) -> float:
-    """Return what the allowed number adds, for so many requests in the order's time."""
+    """Return what the allowed number adds to the share, given the order's requests."""
     return USED_SLACK_PART * bounds.slack / requests if requests > 0 else 0.0
 
 
 def entering_share(
     fleet: Fleet, row: RolloutRow, now: Millis, *, in_session: bool
 ) -> float:
-    """Return the share that the entering version gets now, of sessions or of others."""
+    """Return the entering version's current share of sessions or of other requests."""
     if row.verdict is Verdict.SUCCEEDED:
         return 1.0
     if row.verdict is Verdict.ROLLED_BACK:
@@ -154,12 +160,13 @@
 
 
 def fleet_request_rate(fleet: Fleet, row: RolloutRow, now: Millis) -> float:
-    """Return how many requests a second all boxes get for a service; 0 for unknown.
+    """Return the requests a second of a service at all boxes; 0 if unknown.
 
-    It is the greater of this box's own, for as many boxes as are known, and of the
-    answers that all boxes told: a box that is cut off hears of few. A box that has
-    counted for less than the time looked at takes it for too low and knows nothing:
-    with boxes restarted in turn, orders went up to 64 requests over their bound.
+    The rate is the greater of this box's own rate times the number of known boxes, and
+    the rate of answers that all boxes reported, as a box that is cut off hears of few
+    answers. A box that counted for less than the window would estimate the rate too low
+    and so returns 0: with boxes restarted in turn, orders exceeded their bound by up to
+    64 requests.
     """
     if not _has_full_rate_window(fleet, row, now):
         return 0.0
@@ -173,28 +180,29 @@
 
 
 def _has_full_rate_window(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
-    """Tell whether this box has counted requests for all of the time looked at."""
+    """Return whether this box counted requests during the whole rate window."""
     traffic = fleet.traffic.get(row.service, Traffic())
     oldest = now // 1_000 - RATE_WINDOW_S
     return any(second.number <= oldest for second in traffic.seconds)
 
 
 def reported_answer_rate(row: RolloutRow, now: Millis) -> float:
-    """Return how many answers a second all boxes told, in the last whole seconds."""
+    """Return the answers a second that all boxes reported, over the rate window."""
     epoch = max(0, now - row.began) // EPOCH_MS
-    told = sum(
+    reported = sum(
         tally.answers
         for key, tally in pooled_tallies(row).routes.items()
         if epoch - RATE_WINDOW_S <= key.epoch < epoch
     )
-    return told / RATE_WINDOW_S
+    return reported / RATE_WINDOW_S
 
 
 def raise_extra_share(fleet: Fleet, row: RolloutRow, rate: float, now: Millis) -> None:
-    """Take in how many requests a second all boxes get, while there is time to agree.
+    """Raise the extra share by a measured request rate, while boxes still have time to
+    agree.
 
-    The greatest word of any box counts, so that boxes agree: the bound is safe for each
-    of them by what of the slack is left unused.
+    The greatest value of any box counts, so boxes agree. The bound holds with the value
+    of each box, as part of the slack is left unused.
     """
     age = (now - row.began) / max(1, row.duration_ms)
     if not RATE_FROM <= age < RATE_UNTIL or rate <= 0.0:
@@ -205,10 +213,11 @@
 
 
 def postpone_full_phase(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
-    """Put the last step off if it would break the bounds; tell whether that is new.
+    """Postpone the full phase if it would exceed the bounds; return whether it did so
+    now.
 
-    The steps follow the order's time and the bounds count requests: where most came
-    while many of them entered, as in a burst late, less is left for the end.
+    The steps follow the order's time while the bounds count requests: if most requests
+    came while the share was large, as in a late burst, less is left for the full phase.
     """
     steps = order_steps(fleet, row)
     left_ms = steps.full_at * row.duration_ms - (now - row.began)
@@ -228,7 +237,7 @@
 def _allowed_full_phase_ms(
     fleet: Fleet, row: RolloutRow, now: Millis, steps: ExposureSteps
 ) -> float:
-    """Return how long at its end all of an order's requests may enter, in ms."""
+    """Return how long the full phase may be within the bounds, in ms."""
     bounds, tallies = fleet.rollouts.bounds, pooled_tallies(row)
     per_ms = reported_answer_rate(row, now) / 1_000
     coming = per_ms * (row.duration_ms - (now - row.began))
--- a/src/spanshunt/systems/guarding.py
+++ b/src/spanshunt/systems/guarding.py
@@ -1,7 +1,8 @@
-"""Guarding: roll-outs step, hold and are pulled back inside their guard rails.
+"""Guard rails: roll-outs advance, hold and are pulled back on the evidence.
 
-Any box may judge. A step names the stage it was judged in and the fold takes it only in
-that stage, so that a step judged by two boxes, or by one that was paused, is made once.
+Any box may judge. A step names the stage in which it was judged and is applied only in
+that stage, so a step judged by two boxes, or by a box that was paused, takes effect
+once.
 """
 
 import math
@@ -30,17 +31,30 @@
 from .sequential import log_evidence_below
 
 SIGNAL_COUNT = 3
-"""Ratings, errors, late first tokens: the error rate is split among them."""
+"""Number of signals that are tested: ratings, errors and late first tokens. The error
+rate is split among them."""
 
 LATE_RUN_LENGTH = 144_000
-"""Epochs between two false alarms of one test after a roll-out: 100 days."""
+"""Mean epochs between two false alarms of one test after a roll-out: 100 days."""
 
 HOLD_PART = 0.5
-"""A roll-out does not advance while evidence is past this part of the threshold."""
+"""A roll-out holds while the evidence is at least this part of the threshold."""
 
 
 class Scope(t.NamedTuple):
-    """What a test looks at: all of a version's work, or one class or organisation."""
+    """What a test covers: all of a version, one request class or one organisation.
+
+    Attributes
+    ----------
+    name : str
+        The scope, as text for operators.
+    floor : float
+        Share of good ratings below which the version is bad.
+    share : float
+        Part of the error rate that the scope gets.
+    matches : callable
+        Returns whether a cell belongs to the scope.
+    """
 
     name: str
     floor: float
@@ -54,11 +68,11 @@
     Attributes
     ----------
     log_evidence : float
-        In nats, relative to the threshold of its test: from 0 on it is proof.
+        Natural log of the evidence minus the threshold of its test; proof from 0 on.
     part : float
-        How far it is on the way to the threshold, from 0 to 1 and beyond.
+        Evidence as a part of the threshold, from 0 to 1 and beyond.
     reason : str
-        For people.
+        The evidence, as text for operators.
     """
 
     log_evidence: float
@@ -76,10 +90,10 @@
     box: BoxId,
     wall: Millis,
 ) -> list[RolloutStep]:
-    """Return the steps that roll-outs should make now.
+    """Return the steps that are due for all roll-outs.
 
-    A version that boxes shut out is pulled back until that is recorded, whatever its
-    last ratings say: it gets no work any more that could show anything else.
+    A version that boxes suspended is pulled back until that step is recorded, whatever
+    its latest ratings are: it gets no more requests, so no new evidence can come.
     """
     steps = []
     for row in list(config.rollouts.values()):
@@ -96,14 +110,14 @@
 def _pull_back_step(
     config: Config, row: RolloutRow, reason: str, box: BoxId, wall: Millis
 ) -> RolloutStep | None:
-    """Return the pull-back of a version that is shut out, None once it is recorded."""
+    """Return the pull-back of a suspended version; None once it is recorded."""
     if _is_over(config, row):
         return None
     return _step(row, StepVerdict.PULL_BACK, reason, box, wall)
 
 
 def _is_over(config: Config, row: RolloutRow) -> bool:
-    """Tell whether a roll-out makes no further step: its version is out of service."""
+    """Return whether a roll-out makes no more steps: its version is out of service."""
     version = config.versions.get(row.version)
     withdrawn = version is None or version.state is VersionState.WITHDRAWN
     return withdrawn or row.state is RolloutState.PULLED_BACK
@@ -112,7 +126,7 @@
 def judge(
     config: Config, row: RolloutRow, evidence: Evidence, box: BoxId, wall: Millis
 ) -> RolloutStep | None:
-    """Return the step that one roll-out should make now, None to hold."""
+    """Return the step that is due for one roll-out; None to hold."""
     if _is_over(config, row):
         return None
     epochs = by_epoch(evidence, row.version)
@@ -133,7 +147,7 @@
 
 
 def rollout_suspicion(guards: GuardRails, totals: dict[Cell, Counts]) -> Suspicion:
-    """Return the strongest evidence against a version that is entering."""
+    """Return the strongest evidence against an entering version."""
     found = NO_SUSPICION
     for scope in _scopes(guards, totals):
         counts = _sum_scope(totals, scope)
@@ -154,7 +168,7 @@
 def late_suspicion(
     guards: GuardRails, epochs: dict[int, dict[Cell, Counts]]
 ) -> Suspicion:
-    """Return the strongest evidence that a version in full service turned bad."""
+    """Return the strongest evidence that a version turned bad in full service."""
     found = NO_SUSPICION
     totals = _sum_epochs(epochs)
     for scope in _scopes(guards, totals):
@@ -220,9 +234,9 @@
 
 
 def _mixed_floor(guards: GuardRails, totals: dict[Cell, Counts]) -> float:
-    """Return the floor of a mix of classes: their floors, by how often each was rated.
+    """Return the floor of a mix of classes: their floors weighted by ratings.
 
-    A sound version is at or over each class's floor, so its mix is over this one.
+    A good version is at or above the floor of each class, and so above that of the mix.
     """
     rated = sum(counts.rated for counts in totals.values())
     if rated == 0:
--- a/src/spanshunt/systems/judging.py
+++ b/src/spanshunt/systems/judging.py
@@ -1,4 +1,4 @@
-"""Whether an entering version is good: verdicts, and which box records them."""
+"""Verdicts on entering versions, and which box records them."""
 
 import math
 import typing as t
@@ -23,12 +23,12 @@
 from .watching import check_turned_bad
 
 SUSPECTED_DELAY_MS = 1_000
-"""How much later than planned all requests enter a version that is suspected, in ms, as
-often as it is when that time comes near."""
+"""How much the full phase is postponed while the version is suspected, in ms. This
+repeats each time the full phase comes near."""
 
 
 class Judgement(t.NamedTuple):
-    """A verdict and, for people, the evidence that it rests on."""
+    """A verdict and its evidence as text for operators."""
 
     verdict: Verdict
     reason: str = ""
@@ -48,7 +48,7 @@
 
 
 def postpone_suspected(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
-    """Put the last step off while a version is suspected; tell whether it was."""
+    """Postpone the full phase if the version is suspected; return whether it did so."""
     full_ms = full_from_ms(fleet, row)
     left_ms = full_ms - (now - row.began)
     if not POSTPONE_UNTIL_MS <= left_ms < POSTPONE_FROM_MS:
@@ -60,8 +60,8 @@
 
 
 MIN_RECORD_INCREASE = 1.0
-"""How much stronger a suspicion must be than the recorded one to be recorded anew, in
-natural logs: up to the verdict that is three times at most, at two calls each."""
+"""How much stronger than the recorded suspicion a suspicion must be to be recorded, in
+natural logs. Up to the verdict this allows three records at most, at two calls each."""
 
 
 def suspicion_to_record(
@@ -69,9 +69,10 @@
 ) -> RecordedSuspicion | None:
     """Return the suspicion that this box must record now, if any.
 
-    What boxes know of a version ends with them. Where all of them ended in the middle
-    of an order, five of six versions that made half of their answers four times slower
-    were taken for sound by the few answers that came after (``bench/play_cases.py``).
+    Evidence that only boxes hold is lost when they end. In a test in which all boxes
+    ended in the middle of an order, five of six versions that made half of their
+    answers four times slower passed as good by the few answers that came after
+    (``bench/play_cases.py``).
     """
     found = current_suspicion(fleet, row)
     known = (
@@ -91,15 +92,15 @@
 
 
 RECORD_STAGGER_MS = 700
-"""How much longer each next box waits before it records a verdict itself, in ms: longer
-than a call to a slow store takes."""
+"""How much longer each next box waits before it records a verdict itself, in ms. It is
+longer than a call to a slow store takes."""
 
 
 def record_delay(fleet: Fleet, now: Millis) -> Millis:
-    """Return how long this box leaves the recording of a verdict to others, in ms.
+    """Return how long this box leaves the recording of a verdict to other boxes, in ms.
 
-    Boxes that are heard take turns in the order of their names, so that usually one
-    writes; the store's condition decides where two do.
+    Live boxes take turns in the order of their names, so usually one box writes. If two
+    do, the store's conditional append decides.
     """
     before = sum(box < fleet.identity.box for box in live_peers(fleet, now))
     return Millis(before * RECORD_STAGGER_MS)
@@ -108,13 +109,13 @@
 def verdict_to_record(fleet: Fleet, row: RolloutRow, now: Millis) -> Judgement | None:
     """Return the verdict that this box must record now, if any.
 
-    A version judged bad is taken back here at once, recorded or not. One that turned
-    bad after its success is noted.
+    A version judged bad is rolled back on this box at once, recorded or not. Also
+    checks whether a version turned bad after its success.
     """
     due_at, judgement = _due_verdict(fleet, row, now)
     if judgement.verdict is Verdict.RUNNING:
         return None
-    # What a copy of the store may lack is due anew, by one box after the other, too.
+    # A restored store may lack the verdict: it is due again, with the same delays.
     due_at = max(due_at, fleet.store.era_began)
     if now < due_at + record_delay(fleet, now):
         return None
@@ -124,7 +125,7 @@
 def _due_verdict(
     fleet: Fleet, row: RolloutRow, now: Millis
 ) -> tuple[Millis, Judgement]:
-    """Return the verdict to be recorded and since when; running for none."""
+    """Return the verdict to record and since when it is due; running for none."""
     check_turned_bad(fleet, row, now)
     if (
         row.turned_bad_reason
--- a/src/spanshunt/systems/ramping.py
+++ b/src/spanshunt/systems/ramping.py
@@ -1,9 +1,9 @@
-"""Roll-outs: which version answers a request, and what orders and verdicts change.
+"""Roll-outs: which version answers a request, and how orders and verdicts are applied.
 
-Sessions decide the version by a hash and the order's age, so that all boxes agree
-without a message: callers' connections change boxes, and what a session ran on is known
-to the box that answered alone. How large a part enters is worked out in `exposing`,
-whether the version is good in `judging`.
+The version of a session is decided by a hash and the age of the order, so all boxes
+agree without exchanging messages: callers' connections move between boxes, and only the
+box that answered a session knows which version it ran on. `exposing` computes the share
+of the entering version, and `judging` decides whether that version is good.
 """
 
 import enum
@@ -28,7 +28,7 @@
 
 
 class Reason(enum.Enum):
-    """What decided which version answers a request."""
+    """Why a request is answered by a version."""
 
     NO_ORDER = "no order"
     JUDGED = "judged"
@@ -41,18 +41,18 @@
 
 
 class VersionRule(t.NamedTuple):
-    """The version that must answer, or those that must not.
+    """The version that must answer, or the versions that must not.
 
     Attributes
     ----------
     only : str or None
-        The one that must; None for any.
+        The version that must answer; None for any.
     never : frozenset of str
-        Those that must not.
+        Versions that must not answer.
     reason : Reason
-        What decided it, for logs.
+        Why the rule holds, for logs.
     share : float
-        The share of such requests that enters, as it was then, for logs.
+        Share of such requests that enters at this time, for logs.
     """
 
     only: VersionId | None = None
@@ -61,7 +61,7 @@
     share: float = 0.0
 
     def admits(self, versions: t.Collection[VersionId]) -> bool:
-        """Tell whether a worker that holds `versions` may answer."""
+        """Return whether a worker that serves `versions` may answer."""
         if self.only is not None:
             return self.only in versions
         return self.never.isdisjoint(versions)
@@ -71,13 +71,13 @@
     fleet: Fleet,
     service: ServiceId,
     session: str,
-    draw: str,
+    request_id: str,
     now: Millis,
     route: str = "",
     failed: t.Collection[VersionId] = (),
     tried: t.Collection[WorkerId] = (),
 ) -> VersionRule:
-    """Return which version a request must run on.
+    """Return which versions may answer a request.
 
     Parameters
     ----------
@@ -87,19 +87,19 @@
         The service.
     session : str
         The caller's session; empty for none.
-    draw : str
-        What decides for a request without a session: its id.
+    request_id : str
+        Hashed in place of the session if the request has none.
     now : int
         The time, in ms.
     route : str
-        The route, for what is known of the entering version there.
+        The route, for the evidence against the entering version on it.
     failed : collection of str
-        Versions that failed this request already: one that is entering is not asked
-        again, so that a bad one costs its callers one attempt. In a session it is,
-        at another worker, while its answers don't speak against it: the session may be
-        on it, and then must stay.
+        Versions that already failed this request. An entering version among them is not
+        tried again, so a bad version costs a request one attempt. A request of a
+        session does try it again, on another worker, unless the evidence speaks against
+        the version: the session may be on it and must then stay.
     tried : collection of str
-        Workers that had this request already.
+        Workers that were already tried for this request.
     """
     row = fleet.rollouts.rows.get(service)
     if row is None:
@@ -121,7 +121,7 @@
         return leaving._replace(reason=Reason.FAILED_ON_ENTERING)
     if session and share <= 0.0:
         return leaving._replace(reason=Reason.SESSIONS_NOT_YET)
-    if unit_hash(str(row.order), session or draw) >= share:
+    if unit_hash(str(row.order), session or request_id) >= share:
         return leaving._replace(reason=Reason.NOT_IN_SHARE)
     if not _has_workers(fleet, service, row.version):
         return leaving._replace(reason=Reason.NO_WORKERS)
@@ -138,9 +138,9 @@
     *,
     seen: bool = True,
 ) -> bool:
-    """Take an order in; return whether it is new.
+    """Apply an order; return whether it is new.
 
-    `seen` tells whether whoever says when it began saw it come.
+    `seen` tells whether the box that reports the start time saw the order arrive.
     """
     known = fleet.rollouts.rows.get(service)
     if known is not None and _is_same_order(fleet, known, version, duration_ms, order):
@@ -172,25 +172,26 @@
     duration_ms: Millis,
     order: Offset,
 ) -> bool:
-    """Tell whether an order is the known one, perhaps written again after a copy.
+    """Return whether an order is the known one, possibly written again after a restore.
 
-    It keeps the place under which it was known first: sessions are drawn by that. One
-    that is older than any copy stands where it did; what stands elsewhere is another.
+    The order keeps the offset at which it was first known, since sessions are selected
+    by a hash of that offset. An order that is older than any copy of the store keeps
+    its offset across a restore, so an equal order at another offset is a different one.
     """
     if order in (known.order, known.newest_order):
         return True
-    alike = version == known.version and duration_ms == known.duration_ms
-    if not alike or era_of(order) == era_of(known.newest_order):
+    is_same_content = version == known.version and duration_ms == known.duration_ms
+    if not is_same_content or era_of(order) == era_of(known.newest_order):
         return False
     oldest = fleet.store.era_began - COPY_AGE_MS
     return is_same_offset(order, known.newest_order) or known.began >= oldest
 
 
 def _is_older_order(known: RolloutRow, order: Offset) -> bool:
-    """Tell whether an order came before the known one.
+    """Return whether an order came before the known one.
 
-    One that a copy still holds, where the known one is lost, has a later era but an
-    offset at which an earlier order stood.
+    If the restored store lacks the known order, an earlier order in it has a later era,
+    but its offset is at most that of the order before the known one.
     """
     if era_of(order) <= era_of(known.newest_order):
         return order < known.newest_order
@@ -198,10 +199,11 @@
 
 
 def apply_start_time(row: RolloutRow, began: Millis, *, seen: bool) -> None:
-    """Take in when an order began, by someone's word; who saw it come knows better.
+    """Apply a reported start time of an order; a box that saw the order arrive wins.
 
-    Between words of one kind the earlier counts: news are late, never early. A time of
-    day is early by as much as it is wrong, and sessions would move before the half.
+    Between reports of the same kind the earlier one counts, since reports are delayed
+    but never early. A start time from a wall clock may be early by the error of that
+    clock, and sessions would then move before half of the order's time is over.
     """
     if seen and not row.seen:
         row.began, row.seen = began, True
@@ -210,16 +212,16 @@
 
 
 def bar_versions(row: RolloutRow, versions: t.Collection[VersionId]) -> None:
-    """Give nothing more to versions that were taken back before this order."""
+    """Bar versions that were rolled back before this order from further requests."""
     row.barred = row.barred.union(versions) - {row.version}
 
 
 def apply_verdict(
     row: RolloutRow, verdict: Verdict, reason: str, now: Millis, *, recorded: bool
 ) -> bool:
-    """Take a verdict in; return whether it is new.
+    """Apply a verdict; return whether it is new.
 
-    A verdict that stands in the store wins over one that a box only reached itself.
+    A verdict recorded in the store wins over one that a box only reached itself.
     """
     if verdict is Verdict.RUNNING:
         return False
--- a/src/spanshunt/systems/references.py
+++ b/src/spanshunt/systems/references.py
@@ -1,9 +1,10 @@
-"""What an entering version is held against: the leaving one, where that is sound.
+"""The reference for an entering version: the leaving version, as far as it is healthy.
 
-Two things make answers of any version fail or come late: trouble that touches every
-worker for a while, and single workers that ail. The first excuses an entering version,
-at that time; the second does not. So its bound follows the leaving version epoch by
-epoch, and only as far as the soundest of that one's workers shows it, too.
+Answers of any version fail or are late for two reasons: trouble that affects every
+worker for a while, and single failing workers. Trouble excuses an entering version
+while it lasts; failing workers of the leaving version do not. The bound of the entering
+version therefore follows the leaving version epoch by epoch, but only as far as the
+healthiest worker of the leaving version shows the fault, too.
 """
 
 import math
@@ -16,31 +17,32 @@
 from .tallies import trials_by_epoch
 
 CEILING_MARGIN = 0.15
-"""How much more than the leaving version's share of answers with a fault is still
-sound, up to twice that share."""
+"""How much the share of faulty answers may exceed that of the leaving version and still
+be good, up to twice that share."""
 
 MAX_CEILINGS = {Finding.FAILED: 0.25, Finding.SLOW: 0.7}
-"""Shares of answers with a fault from which on a version is blamed whatever the leaving
-one shows. Failures are held to less: load makes answers late, and no share of failures
-over this was seen at all workers of a sound version but in spells of seconds."""
+"""Shares of faulty answers above which a version is bad whatever the leaving version
+shows. The ceiling is lower for failures: load delays answers, but a good version had
+more failures than this on all its workers only for seconds at a time."""
 
 WINDOW_EPOCHS = 2
-"""Epochs before and after one whose answers of the leaving version count for it: of
-25 answers a second, 125."""
+"""Number of epochs before and after an epoch whose answers of the leaving version count
+for it: 125 answers at 25 a second."""
 
 MIN_WINDOW_ANSWERS = 25
-"""Where these are fewer, older epochs count as well until they are so many: when all
-requests enter, the leaving version's last answers tell what their load does."""
+"""Answers up to which older epochs are added to a window. When all requests enter, the
+last answers of the leaving version show the effect of their load."""
 
 FULL_PHASE_FLOORS = {Finding.FAILED: FAULT_FLOORS[Finding.FAILED], Finding.SLOW: 0.6}
-"""Shares that no version is blamed for once all requests enter: its engines then read
-what they keep nothing of, and write between that."""
+"""Shares of faulty answers below which no version is bad in the full phase. Its engines
+then read prompts that they have nothing cached of, and write in between."""
 
 PRIOR_ANSWERS = 10
-"""Weight of the order's whole time against these, in answers."""
+"""Weight of the share over the order's whole time, in answers, when it is averaged with
+the share of a window."""
 
 MIN_WORKER_ANSWERS = 10
-"""Answers from which on one worker can show how sound its version is."""
+"""Answers from which on a worker can show how healthy its version is."""
 
 
 class Reference(t.NamedTuple):
@@ -49,15 +51,15 @@
     Attributes
     ----------
     finding : Finding
-        The fault.
+        Kind of fault.
     usual : float
-        The share of its answers with it, over the order's time.
+        Share of its answers with the fault, over the order's time.
     common_part : float
-        The part of that share which its soundest worker may show, too, in 0 to 1.
+        Part of that share that its healthiest worker may show as well, from 0 to 1.
     epochs : dict
-        Answers and faulty ones by epoch.
+        Answers and faulty answers by epoch.
     full_epoch : int
-        The epoch from which on all requests may enter.
+        Epoch from which on all requests may enter.
     """
 
     finding: Finding
@@ -67,7 +69,7 @@
     full_epoch: int
 
     def usual_at(self, epoch: int) -> float:
-        """Return the share of answers that such trouble explains in an epoch."""
+        """Return the share of faults in an epoch that all workers have in common."""
         answers, faulty = 0, 0
         for near in range(epoch + WINDOW_EPOCHS, -1, -1):
             if near < epoch - WINDOW_EPOCHS and answers >= MIN_WINDOW_ANSWERS:
@@ -79,7 +81,7 @@
         return self.common_part * share
 
     def ceiling_at(self, epoch: int) -> float:
-        """Return the share of faulty answers that is still sound in an epoch."""
+        """Return the greatest share of faults that is still good in an epoch."""
         floors = FULL_PHASE_FLOORS if epoch >= self.full_epoch else FAULT_FLOORS
         usual = self.usual_at(epoch)
         ceiling = max(floors[self.finding], usual + min(usual, CEILING_MARGIN))
@@ -87,33 +89,34 @@
 
 
 def build_reference(
-    pooled: Tallies, route: str, finding: Finding, full_epoch: int
+    tallies: Tallies, route: str, finding: Finding, full_epoch: int
 ) -> Reference:
     """Return what the leaving version shows of a fault on a route ("" for all)."""
-    epochs = trials_by_epoch(pooled, route, finding, entering=False)
+    epochs = trials_by_epoch(tallies, route, finding, entering=False)
     answers = sum(trials for trials, _ in epochs.values())
     faulty = sum(faults for _, faults in epochs.values())
     usual = faulty / answers if answers else 0.0
-    common_part = _common_part(pooled, finding)
+    common_part = _common_part(tallies, finding)
     return Reference(finding, usual, common_part, epochs, full_epoch)
 
 
-def _common_part(pooled: Tallies, finding: Finding) -> float:
-    """Return which part of the leaving version's faults its soundest worker may show.
+def _common_part(tallies: Tallies, finding: Finding) -> float:
+    """Return the part of the leaving version's faults that is common to its workers.
 
-    That is 1 while all workers are alike or too little is known of any.
+    It is the share of faults of the healthiest worker relative to that of all, or 1 if
+    all workers are alike or none gave enough answers.
     """
-    leaving = [tally for key, tally in pooled.workers.items() if not key.entering]
+    leaving = [tally for key, tally in tallies.workers.items() if not key.entering]
     trials = sum(tally.trials(finding) for tally in leaving)
     faults = sum(tally.faults(finding) for tally in leaving)
     known = [tally for tally in leaving if tally.trials(finding) >= MIN_WORKER_ANSWERS]
     if not faults or not known:
         return 1.0
-    soundest = min(_max_share(tally, finding) for tally in known)
-    return min(1.0, soundest * trials / faults)
+    healthiest = min(_max_share(tally, finding) for tally in known)
+    return min(1.0, healthiest * trials / faults)
 
 
 def _max_share(tally: Tally, finding: Finding) -> float:
-    """Return how large a worker's share of faults may be: one deviation above."""
+    """Return a worker's greatest plausible share of faults: one deviation above."""
     faults = tally.faults(finding) + 1
     return min(1.0, (faults + math.sqrt(faults)) / tally.trials(finding))
--- a/src/spanshunt/systems/sequential.py
+++ b/src/spanshunt/systems/sequential.py
@@ -1,22 +1,23 @@
-"""Sequential tests of shares that stay valid however often one looks.
+"""Sequential tests of shares that stay valid however often they are evaluated.
 
-Each test is a mixture of likelihood ratios against the bound: for any true share on the
-sound side of the bound, the mixture is a non-negative supermartingale that starts at 1,
-so by Ville's inequality it ever reaches ``1 / alpha`` with a chance of at most
-``alpha``. It needs only counts, so boxes pool evidence in any order.
+Each test is a mixture of likelihood ratios against the bound. For any true share on the
+good side of the bound, the mixture is a non-negative supermartingale that starts at 1,
+so by Ville's inequality it ever reaches ``1 / alpha`` with a probability of at most
+``alpha``. A test needs only counts, so boxes can pool evidence in any order.
 """
 
 import math
 
 DROPS = (0.03, 0.07, 0.12, 0.2, 0.35, 0.6)
-"""Alternatives for a share under its floor: this much below it, in parts of it."""
+"""Alternatives for a share below its floor: the drop, as a part of the floor."""
 
 RISES = (0.02, 0.05, 0.1, 0.2, 0.4, 0.7)
-"""Alternatives for a share over its ceiling: this much of the room above it."""
+"""Alternatives for a share above its ceiling: the rise, as a part of the room above
+it."""
 
 MIN_EXCESS = 2.0
-"""With no more hits than this too few, or too many, since any epoch, there is nothing
-to work out: the evidence would be far below any threshold in use."""
+"""With at most this many hits too few or too many since any epoch, the statistic is not
+computed: it would be far below any threshold in use."""
 
 _EPSILON = 1e-6
 
@@ -36,20 +37,20 @@
 
 
 def log_change_below(epochs: list[tuple[int, int]], floor: float) -> float:
-    """Return the log of the Shiryaev-Roberts statistic for a fall under `floor`.
+    """Return the log of the Shiryaev-Roberts statistic for a drop below `floor`.
 
     Parameters
     ----------
     epochs : list of (int, int)
         Trials and hits of each epoch, oldest first.
     floor : float
-        The sound shares are those from here on.
+        Least good share.
 
     Returns
     -------
     float
-        The sum over all epochs of the evidence since then. While the share is sound,
-        it reaches ``a`` after ``a`` epochs or more on average.
+        Log of the sum, over all epochs, of the evidence since that epoch. While the
+        share is good, the sum reaches ``a`` after ``a`` epochs or more on average.
     """
     bound = _clamp_share(floor)
     missing = [trials * bound - hits for trials, hits in epochs]
@@ -64,29 +65,28 @@
 
 
 def log_change_above(epochs: list[tuple[int, int]], ceiling: float) -> float:
-    """Return the log of the Shiryaev-Roberts statistic for a rise over `ceiling`."""
+    """Return the log of the Shiryaev-Roberts statistic for a rise above `ceiling`."""
     return log_change_above_each(epochs, [ceiling] * len(epochs))
 
 
 def log_change_above_each(
     epochs: list[tuple[int, int]], ceilings: list[float], start: float = -math.inf
 ) -> float:
-    """Return the log of the Shiryaev-Roberts statistic for a rise over `ceilings`.
+    """Return the log of the Shiryaev-Roberts statistic for a rise above `ceilings`.
 
     Parameters
     ----------
     epochs : list of (int, int)
         Trials and hits of each epoch, oldest first.
     ceilings : list of float
-        The greatest sound share in each epoch: what is usual changes with time.
+        Greatest good share in each epoch, as the usual share changes with time.
     start : float
-        The log of the statistic up to these epochs, where earlier ones are not known
-        any more.
+        Log of the statistic up to these epochs, if earlier epochs are no longer known.
 
     Returns
     -------
     float
-        As of :func:`log_change_below`.
+        As for :func:`log_change_below`.
     """
     bounds = [_clamp_share(ceiling) for ceiling in ceilings]
     excess = [
--- a/src/spanshunt/systems/succeeding.py
+++ b/src/spanshunt/systems/succeeding.py
@@ -1,7 +1,7 @@
-"""When an entering version has succeeded: shown by answers, known from other boxes.
+"""When an entering version has succeeded: by its answers and the reports of most boxes.
 
-Success can't be taken back: the workers of the version before stop at once. That no bad
-answer is known is no reason for it where few answers are, or where nobody was heard.
+A success can't be undone, as the workers of the leaving version stop at once. An
+absence of known faults is no proof if few answers are known or no other box was heard.
 """
 
 from ..ids import Millis
@@ -17,45 +17,46 @@
 from .tallies import count_answers
 
 SUCCESS_PART, LATE_SUCCESS_PART = 0.27, 0.55
-"""Parts of the time with all requests after which a version that stayed sound has
-succeeded at the earliest, the second one where few answers show that it is."""
+"""Parts of the full phase after which a good version may succeed, the second one if few
+answers are known."""
 
 SUCCESS_LEFT_MS, LATE_SUCCESS_LEFT_MS = 1_200, 600
-"""And how long before the order's time is over, in ms: the later, the less can go wrong
-unseen. What is left suffices to record a verdict, by a second box or at a slow store,
-too."""
+"""And how long before the end of the order's time it may succeed at the earliest, in
+ms. The later it does, the fewer faults are missed. The remaining time suffices to
+record a verdict, even by a second box or at a slow store."""
 
 SUFFICIENT_ANSWERS = 30
-"""Answers of the entering version that suffice for the earlier time: of 30, a version
-that fails a third shows 10, and the test against a tenth needs about 9."""
+"""Answers of the entering version that suffice for the earlier success. A version that
+fails a third shows 10 faults in 30 answers, and the test against a tenth needs about
+9."""
 
 MIN_ANSWERS = 10
-"""Answers without which it does not succeed at all while requests come: of ten, a
-version that fails half shows three or more in 19 of 20 cases. An order that waits for
-them is late, and harms nobody meanwhile: the version before is still there."""
+"""Answers without which a version does not succeed while requests come. In ten answers,
+a version that fails half shows three or more faults in 19 of 20 cases. An order that
+waits for these answers is late but does no harm: the leaving version is still there."""
 
 MIN_SPAN_MS, MIN_SPAN_PART = 4_000, 0.25
-"""How long before success its first answers came at the least, in ms and as a part of
-the order's time: answers that are slow end last."""
+"""Least time from the first answers of the version to its success, in ms and as a part
+of the order's time: slow answers are the last to end."""
 
 IDLE_MS = 1_000
-"""How long before all requests enter the latest request for the service may have been
-for it to count as not asked for at all, in ms."""
+"""A service counts as idle if no request came from this long before the full phase on,
+in ms."""
 
 SMALL_FLEET_PEERS, MIN_LIVE_PEERS = 12, 6
-"""Peers up to which each of them is heard within the time that counts, so that half of
-them must be; and of more, how many must be: the streams that a box itself keeps open to
-others bring it twelve."""
+"""Number of peers up to which all are heard in time, so that half of them must be; and
+the number that must be heard of more peers. The streams that a box keeps open itself
+reach twelve peers."""
 
 GONE_PEER_FAILURES = 3
-"""Calls in a row that fail after which a box that was never heard is not waited for."""
+"""Failed calls in a row after which a box that was never heard is no longer awaited."""
 
 
 def may_succeed(
-    fleet: Fleet, row: RolloutRow, tallies: Tallies, against: Suspicion, now: Millis
+    fleet: Fleet, row: RolloutRow, tallies: Tallies, suspicion: Suspicion, now: Millis
 ) -> bool:
-    """Tell whether a version that is not known to be bad has succeeded now."""
-    if against.blocks_success:
+    """Return whether a version that is not known to be bad has succeeded by now."""
+    if suspicion.blocks_success:
         return False
     answers = count_answers(tallies, entering=True)
     age = now - row.began
@@ -65,56 +66,61 @@
         else late_success_ms(fleet, row)
     ):
         return False
-    shown = _has_enough_answers(row, tallies, now) or _is_idle(fleet, row, tallies)
-    return shown and hears_majority(fleet, row, now)
+    is_supported = _has_enough_answers(row, tallies, now) or _is_idle(
+        fleet, row, tallies
+    )
+    return is_supported and hears_majority(fleet, row, now)
 
 
 def earliest_success_ms(fleet: Fleet, row: RolloutRow) -> int:
-    """Return the age from which on an order may have succeeded, in ms."""
+    """Return the age from which on an order may succeed, in ms."""
     return _success_age_ms(fleet, row, SUCCESS_PART, SUCCESS_LEFT_MS)
 
 
 def late_success_ms(fleet: Fleet, row: RolloutRow) -> int:
-    """Return the same where few answers show it."""
+    """Return the age from which on an order may succeed with few answers, in ms."""
     return _success_age_ms(fleet, row, LATE_SUCCESS_PART, LATE_SUCCESS_LEFT_MS)
 
 
 def hears_majority(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
-    """Tell whether this box hears most of the boxes that may know more than it does.
+    """Return whether this box hears most of the boxes that may know more than it does.
 
-    In a large fleet it talks to a few of them only, which tell what the others told:
-    then it is those that it hears against those that it fails to reach. Counted against
-    all, no box of 60 would hear most, and each read the store's verdicts every second.
+    In a large fleet a box talks to only a few boxes, which pass on the reports of
+    others, so the boxes that it hears are compared with those that it fails to reach.
+    Compared with all boxes, no box in a fleet of 60 would hear a majority, and each of
+    them would read the store's verdicts every second.
     """
     heard = set(live_peers(fleet, now))
-    wanted = [peer for peer in fleet.peers.values() if _is_expected(peer, row)]
-    unheard = [peer for peer in wanted if peer.box not in heard]
+    expected = [peer for peer in fleet.peers.values() if _is_expected(peer, row)]
+    unheard = [peer for peer in expected if peer.box not in heard]
     if len(fleet.peers) <= SMALL_FLEET_PEERS:
-        return len(unheard) <= len(wanted) / 2
-    missed = sum(peer.failures > 0 for peer in unheard)
-    return len(heard) >= max(MIN_LIVE_PEERS, missed)
+        return len(unheard) <= len(expected) / 2
+    unreachable = sum(peer.failures > 0 for peer in unheard)
+    return len(heard) >= max(MIN_LIVE_PEERS, unreachable)
 
 
 def _is_expected(peer: PeerRow, row: RolloutRow) -> bool:
-    """Tell whether a peer was there since the order began, or may be now."""
+    """Return whether a peer was live since the order began, or may be live now."""
     if peer.heard < 0:
         return peer.failures < GONE_PEER_FAILURES
     return peer.heard >= row.began
 
 
 def _success_age_ms(fleet: Fleet, row: RolloutRow, part: float, left_ms: int) -> int:
-    begins = full_from_ms(fleet, row)
-    full_ms = row.duration_ms - begins
+    full_from = full_from_ms(fleet, row)
+    full_ms = row.duration_ms - full_from
     if full_ms <= 0:
         full_ms = int(
             full_phase_part(fleet.rollouts.bounds, row.duration_ms) * row.duration_ms
         )
-    return max(int(begins + part * full_ms), row.duration_ms - left_ms)
+    return max(int(full_from + part * full_ms), row.duration_ms - left_ms)
 
 
 def _has_enough_answers(row: RolloutRow, tallies: Tallies, now: Millis) -> bool:
-    """Tell whether enough is known of the entering version, for long enough."""
-    entering = [(k.epoch, tally) for k, tally in tallies.routes.items() if k.entering]
+    """Return whether enough answers of the entering version came, for long enough."""
+    entering = [
+        (key.epoch, tally) for key, tally in tallies.routes.items() if key.entering
+    ]
     if sum(tally.answers for _, tally in entering) < MIN_ANSWERS:
         return False
     oldest_ms = min(epoch for epoch, _ in entering) * EPOCH_MS
@@ -123,6 +129,6 @@
 
 
 def _is_idle(fleet: Fleet, row: RolloutRow, tallies: Tallies) -> bool:
-    """Tell whether nobody asks for the service: then nothing can show, or go wrong."""
+    """Return whether the service gets no requests, so no fault can show or do harm."""
     since = max(0, full_from_ms(fleet, row) - IDLE_MS) // EPOCH_MS
     return not any(key.epoch >= since for key in tallies.routes)
--- a/src/spanshunt/systems/tallies.py
+++ b/src/spanshunt/systems/tallies.py
@@ -1,4 +1,4 @@
-"""Counting answers under an order, and pooling what boxes counted."""
+"""Counts of the answers under an order, and their sums over boxes."""
 
 from ..ids import Millis
 from ..ids import ServiceId
@@ -15,26 +15,28 @@
 from ..utils import unit_hash
 
 FAULT_FLOORS = {Finding.FAILED: 0.1, Finding.SLOW: 0.25}
-"""Shares of answers with a fault that no version is blamed for. Single answers fail on
-sound workers, too, when a worker or a link breaks; and a sound version is slow at
-first, while its engines keep no prompts: one in ten answers on a calm day."""
+"""Shares of faulty answers below which no version is bad. Single answers fail on
+healthy workers as well, when a worker or a link breaks. A good version is slow at
+first, while its engines have no prompts cached: one in ten answers, on a day without
+trouble."""
 
 MIN_FAULTS = 3
-"""Bad answers without which nothing is held against a version."""
+"""Number of faulty answers below which there is no evidence against a version."""
 
 SAMPLED_WORKERS = 8
-"""Workers of each version that are counted one by one, about: each takes some 20 bytes
-in an exchange, and where most are ailing a sound one should be among them."""
+"""Approximate number of workers of each version that are counted separately. Each adds
+about 20 bytes to an exchange, and if most workers fail a healthy one should be in the
+sample."""
 
 BEGAN = Tally(answers=1)
 """An answer that began."""
 
 FAILED = Tally(answers=1, failed=1)
-"""An answer that failed. One that had begun counts anew, so that each count is of its
-own epoch."""
+"""An answer that failed. If it had begun it is counted again, so each count belongs to
+its own epoch."""
 
 IN_TIME, SLOW = Tally(timed=1), Tally(timed=1, slow=1)
-"""An answer whose time is known."""
+"""Answers whose time to the first byte is known, in time or slow."""
 
 SILENT = Tally(answers=1, timed=1, slow=1)
 """A worker that gave no answer in time."""
@@ -46,35 +48,36 @@
     route: str,
     worker: WorkerRow,
     now: Millis,
-    seen: Tally,
+    observed: Tally,
 ) -> None:
-    """Count what was seen of an answer, unless the newest order was taken back."""
+    """Count an observation of an answer, unless the newest order was rolled back."""
     row = fleet.rollouts.rows.get(service)
     if row is None or row.verdict is Verdict.ROLLED_BACK:
         return
     row.changes += 1
     entering = row.version in worker.versions
     epoch = max(0, now - row.began) // EPOCH_MS
-    row.own.routes.setdefault(TallyKey(route, entering, epoch), Tally()).add(seen)
+    row.own.routes.setdefault(TallyKey(route, entering, epoch), Tally()).add(observed)
     if _is_sampled(fleet, row, worker):
         key = WorkerTallyKey(worker.incarnation, entering)
-        row.own.workers.setdefault(key, Tally()).add(seen)
+        row.own.workers.setdefault(key, Tally()).add(observed)
 
 
 def _is_sampled(fleet: Fleet, row: RolloutRow, worker: WorkerRow) -> bool:
-    """Tell whether a worker is counted by itself: the same ones on every box."""
+    """Return whether a worker is counted separately; all boxes select alike."""
     version = min(worker.versions, default=None)
-    alike = len(fleet.workers.find_capable(row.service, version))
-    if alike <= SAMPLED_WORKERS:
+    candidates = len(fleet.workers.find_capable(row.service, version))
+    if candidates <= SAMPLED_WORKERS:
         return True
-    return unit_hash("sample", str(row.order), worker.name) < SAMPLED_WORKERS / alike
+    return (
+        unit_hash("sample", str(row.order), worker.name) < SAMPLED_WORKERS / candidates
+    )
 
 
 def pooled_tallies(row: RolloutRow) -> Tallies:
-    """Return the tallies of all boxes, as far as this one heard; not to be changed.
+    """Return the sums over all boxes heard of; callers must not change them.
 
-    They are added up once for all that looks at them between two changes: a judgement
-    looks three times.
+    The sums are cached between two changes, as one judgement reads them three times.
     """
     if row.total_changes != row.changes:
         row.total = sum_tallies(
@@ -107,9 +110,10 @@
 def trials_by_epoch(
     tallies: Tallies, route: str, finding: Finding, *, entering: bool
 ) -> dict[int, tuple[int, int]]:
-    """Return answers that could show a fault, and those that did, by epoch.
+    """Return the answers that were checked for a fault, and those with it, by epoch.
 
-    They are those of the entering or the leaving version on a route; "" takes all.
+    They are answers of the entering or the leaving version on a route; "" stands for
+    all routes.
     """
     epochs: dict[int, tuple[int, int]] = {}
     for key, tally in tallies.routes.items():
@@ -122,24 +126,24 @@
 
 
 def is_version_suspected(row: RolloutRow, route: str) -> bool:
-    """Tell whether answers of the entering version speak against it, on a route or all.
+    """Return whether answers speak against the entering version, on a route or overall.
 
-    It needs less than a verdict does: to be wrong moves a session whose answer failed,
-    or costs it one more attempt.
+    This needs less evidence than a verdict. An error moves a session whose answer
+    failed, or costs it one more attempt.
     """
     routes = pooled_tallies(row).routes
     entering = [(key, tally) for key, tally in routes.items() if key.entering]
     for finding, floor in FAULT_FLOORS.items():
         everywhere = [tally for _, tally in entering]
-        here = [tally for key, tally in entering if key.route == route]
+        on_route = [tally for key, tally in entering if key.route == route]
         if sum(tally.faults(finding) for tally in everywhere) < MIN_FAULTS:
             continue
-        if max(_share(everywhere, finding), _share(here, finding)) > floor:
+        if max(_share(everywhere, finding), _share(on_route, finding)) > floor:
             return True
     return False
 
 
 def _share(tallies: list[Tally], finding: Finding) -> float:
-    """Return the share of answers that had a fault."""
+    """Return the share of answers with a fault."""
     trials = sum(tally.trials(finding) for tally in tallies)
     return sum(tally.faults(finding) for tally in tallies) / max(1, trials)
--- a/src/spanshunt/systems/watching.py
+++ b/src/spanshunt/systems/watching.py
@@ -1,7 +1,8 @@
-"""After success: whether a version turned bad, and whether there is a way back.
+"""Checks after a success: whether the version turned bad, and whether others are left.
 
-The workers of the version before usually stop at its success; then there is none, and
-all that helps is that somebody is told. Where they are still there, requests go back.
+The workers of the leaving version usually stop at its success. Then no fallback is left
+and the box can only report the fault. If they are still there, requests go back to
+them.
 """
 
 import math
@@ -21,23 +22,24 @@
 from .tallies import trials_by_epoch
 
 KEPT_EPOCHS = 60
-"""Epochs kept after success: what a box adds up each time it looks stays small."""
+"""Number of epochs kept after a success, which bounds the cost of each check."""
 
 LATE_EVIDENCE_THRESHOLD = 9.0
-"""Natural log of the change statistic at which a version has turned bad: there is no
-end to the looks, and a sound one reaches it about once in 8,000 epochs of a series."""
+"""Natural log of the change statistic at which a version has turned bad. The checks go
+on without end, and a good version reaches it about once in 8,000 epochs of a series."""
 
 CHECK_PERIOD_MS = 1_000
-"""How often a box looks, in ms: of 30 answers a second, a version that fails half shows
+"""Period of the checks, in ms. At 30 answers a second, a version that fails half shows
 it within two seconds."""
 
 LISTING_EXPIRY_MS = 5_000
-"""How long after success entries of the version before tell that its workers are there,
-in ms: those of workers that stopped lapse after three heartbeats, about 3.6 s."""
+"""Time after a success from which on listed workers of the leaving version are known to
+be running, in ms. The entries of stopped workers expire after three missed heartbeats,
+about 3.6 s."""
 
 
 def check_turned_bad(fleet: Fleet, row: RolloutRow, now: Millis) -> None:
-    """Look now and then whether a version that succeeded turned bad, and note it."""
+    """Check periodically whether a version that succeeded turned bad, and mark it."""
     if row.verdict is not Verdict.SUCCEEDED or row.turned_bad_reason:
         return
     if now < row.turned_bad_checked_at + CHECK_PERIOD_MS:
@@ -49,9 +51,10 @@
 
 
 def late_suspicion(tallies: Tallies) -> Suspicion:
-    """Return what speaks most for failures beyond any share that trouble explains.
+    """Return the strongest suspicion of failures after a success, on any route.
 
-    Nothing is left to hold the version against, and nothing is compared but failures.
+    There is no leaving version to compare with, so only failures count, against
+    the greatest share that trouble of the whole fleet explains.
     """
     routes = sorted({key.route for key in tallies.routes} | {""})
     found = [_route_suspicion(tallies, route) for route in routes]
@@ -59,12 +62,12 @@
 
 
 def can_fall_back(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
-    """Tell whether a version that turned bad can be left: others are there."""
+    """Return whether a version turned bad and workers of other versions are left."""
     if not row.turned_bad_reason or now < row.judged_at + LISTING_EXPIRY_MS:
         return False
-    out = row.barred | {row.version}
+    excluded = row.barred | {row.version}
     return any(
-        out.isdisjoint(worker.versions)
+        excluded.isdisjoint(worker.versions)
         and worker.name not in fleet.workers.leaving
         and worker.name not in fleet.missing_workers
         for worker in fleet.workers.find_capable(row.service, None)
@@ -72,7 +75,7 @@
 
 
 def drop_old_epochs(fleet: Fleet, now: Millis) -> None:
-    """Drop epochs of succeeded versions that are no longer looked at."""
+    """Drop epochs of succeeded versions that are no longer checked."""
     for row in fleet.rollouts.rows.values():
         if row.verdict is not Verdict.SUCCEEDED:
             continue
