--- a/tests/test_bad_versions.py
+++ b/tests/test_bad_versions.py
@@ -1,20 +1,17 @@
-"""A bad version does not pass for sound, whatever else goes wrong beside it.
-
-Seen: a version that failed half of its answers was recorded as succeeded and got all
-requests. No worker of the version before was left, and for minutes nothing looked at it
-any more; 1,287 requests reached it later than they may.
-
-How it came about: the version was held against all answers of the leaving one. Where
-most of that one's workers were ailing, or all of them a little, twice their share of
-failed answers was more than the bad version showed. Success then came by the clock.
-
-Cause: absence of evidence was taken for evidence, three times over. What excuses a
-version was measured where the same trouble spoils it; success asked for no answer and
-for nobody's word; and nobody looked once it was recorded. Proof: plays of the same
-order on the same fleet (`bench/play_cases.py`). Calm, a version that fails half is
-taken back in 8 of 8. With all leaving engines failing a third, it succeeded in 8 of 8
-on 58 to 80 answers and got 284 to 354 requests too late; with all but one failing
-half, in 2 of 8. Which of these the fleet of the incident had, its record can't tell.
+"""A bad version must not pass as good, whatever other faults there are at the time.
+
+A version that failed half of its answers was recorded as succeeded and got all
+requests. No worker of the leaving version was left and, for minutes, nothing checked
+the version any more, so 1,287 requests reached it later than allowed.
+
+The version was compared with all answers of the leaving version. If most workers of
+that version fail, or all of them fail a little, twice its share of failures exceeds
+that of the bad version. The order then succeeded by time alone, without enough answers
+and without reports of other boxes. In simulated orders on one fleet
+(`bench/play_cases.py`), a version that fails half is rolled back in 8 of 8 without
+other faults. With all leaving engines failing a third it succeeded in 8 of 8, on 58 to
+80 answers, and got 284 to 354 requests too late; with all but one failing half it
+succeeded in 2 of 8. The record of the incident does not show which of these it was.
 """
 
 from bench.play_cases import Kind
@@ -46,7 +43,7 @@
 DURATION = ms(24)
 
 
-def ordered() -> tuple[Fleet, RolloutRow]:
+def fleet_in_rollout() -> tuple[Fleet, RolloutRow]:
     fleet = make_fleet()
     add_worker(fleet, make_worker("old"))
     add_worker(fleet, make_worker("new", version=NEW))
@@ -54,7 +51,7 @@
     return fleet, fleet.rollouts.rows[SERVICE]
 
 
-def test_ailing_workers_of_the_leaving_version_excuse_nothing():
+def test_failing_workers_of_the_leaving_version_excuse_no_faults():
     for trouble, seed in (
         (Trouble.AILING, 2),
         (Trouble.AILING, 8),
@@ -66,9 +63,9 @@
         assert outcome.kept, (trouble, seed, outcome.late)
 
 
-def test_box_that_heard_nobody_records_no_success():
-    """It has started, or is cut off: that it knows no bad answer says nothing."""
-    fleet, row = ordered()
+def test_box_that_hears_no_peer_records_no_success():
+    """A box that just started or is cut off knows no faults, which proves nothing."""
+    fleet, row = fleet_in_rollout()
     for number in range(6):
         name = BoxId(f"peer-{number}")
         fleet.peers[name] = PeerRow(name, "host:1", heard=ms(2))
@@ -77,9 +74,9 @@
     assert verdict_to_record(fleet, row, ms(23.9)) is None
 
 
-def test_version_that_turns_bad_after_its_success_is_left_where_it_can_be():
-    """Workers of the version before may still be there: then requests go back."""
-    fleet, row = ordered()
+def test_version_that_turns_bad_after_its_success_is_rolled_back_if_possible():
+    """If workers of the leaving version still run, requests go back to them."""
+    fleet, row = fleet_in_rollout()
     apply_verdict(row, Verdict.SUCCEEDED, "60 answers", ms(23), recorded=True)
     for number in range(200):
         at = ms(24 + number / 20)
@@ -93,37 +90,38 @@
 
 
 def test_burst_late_in_an_order_keeps_the_bound():
-    """The steps follow the clock, the bound counts requests: 362 came where 339 may."""
+    """The steps follow time, the bound counts requests: a burst gave 362, not 339."""
     for seed in (1, 2):
         outcome = play_case(Kind.GOOD, Trouble.BURST, seed)
         assert outcome.verdict is Verdict.SUCCEEDED
         assert outcome.exposed <= outcome.allowed
 
 
-def test_requests_go_back_where_the_version_before_is_still_there():
+def test_requests_go_back_if_the_leaving_version_still_runs():
     outcome = play_case(Kind.AFTER, Trouble.KEPT, 1)
     assert outcome.verdict is Verdict.ROLLED_BACK
     assert outcome.late == 0
 
 
-def test_all_boxes_tell_of_a_version_that_turned_bad_where_nothing_else_is_left():
+def test_all_boxes_report_a_version_that_turned_bad_without_a_fallback():
     outcome = play_case(Kind.AFTER, Trouble.NONE, 1)
     assert outcome.verdict is Verdict.SUCCEEDED
     assert outcome.turned_bad == 7
 
 
-def test_good_version_is_not_kept_waiting_on_a_calm_day():
+def test_good_version_succeeds_in_time_without_other_faults():
     for seed in (6, 13, 24):
         outcome = play_case(Kind.GOOD, Trouble.NONE, seed)
         assert outcome.verdict is Verdict.SUCCEEDED
         assert outcome.at < 24.0
 
 
-def test_version_that_writes_several_times_slower_is_taken_back():
-    """Only the first event was timed, and an answer counted as late when it was whole.
+def test_version_that_writes_several_times_slower_is_rolled_back():
+    """The time between events must count as well as that of the first event.
 
-    An engine that is slow reads short prompts about as fast as any, and writes slowly:
-    of 108 ms from event to event where 32 are usual nothing was looked at.
+    A slow engine reads short prompts about as fast as any engine but writes slowly. If
+    only the first event is timed, 108 ms between events where 32 ms are usual go
+    unnoticed.
     """
     for trouble, seed in (
         (Trouble.NONE, 1),
@@ -137,7 +135,7 @@
 
 
 def test_box_that_hears_no_peer_learns_the_verdict_from_the_store():
-    """It was told by peers alone: cut off from them, it went on with a bad version."""
+    """A box without peers would keep a bad version if only peers told it verdicts."""
     for seed in (1, 17, 22):
         outcome = play_case(Kind.SLOW_4, Trouble.CUT_FIRST, seed)
         assert outcome.verdict is Verdict.ROLLED_BACK, seed
@@ -145,16 +143,16 @@
 
 
 def test_version_that_fails_under_load_alone_is_found_before_it_has_all_requests():
-    """It shows nothing until it carries what only full service brings."""
+    """The version shows no faults until it gets the load of full service."""
     outcome = play_case(Kind.UNDER_LOAD, Trouble.BURST, 1)
     assert outcome.kept, outcome
 
 
 def test_slow_version_is_found_beside_slow_workers_of_the_leaving_one():
-    """Both are mostly slow against one usual time; by how much does not show.
+    """Both versions exceed the usual time mostly, which hides by how much they do.
 
-    Two or three of a hundred plays pass for sound; which ones changes with the timing
-    of boxes.
+    Two or three of a hundred simulated orders pass as good. Which ones depends on the
+    timing of the boxes.
     """
     for seed in (10, 17, 20, 51, 80, 88):
         outcome = play_case(Kind.SLOW_4, Trouble.SLOW_LEAVING, seed)
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence on versions: counted, told between boxes, held against a reference."""
+"""Evidence on versions: its counts, their exchange and the reference."""
 
 import random
 
@@ -48,7 +48,9 @@
 FULL_MS = 22_340
 
 
-def ordered(box: str = "box-1", domain: str = "north", workers: int = 5) -> Fleet:
+def fleet_in_rollout(
+    box: str = "box-1", domain: str = "north", workers: int = 5
+) -> Fleet:
     fleet = make_fleet(box, domain)
     for number in range(workers):
         add_worker(fleet, make_worker(f"old-{number}"))
@@ -61,19 +63,23 @@
     return fleet.rollouts.rows[SERVICE]
 
 
-def see(fleet: Fleet, worker: str, at: float, seen: Tally, route: str = "r") -> None:
+def observe(
+    fleet: Fleet, worker: str, at: float, observed: Tally, route: str = "r"
+) -> None:
     row = fleet.workers.rows[worker]
-    count_answer(fleet, SERVICE, route, row, ms(at), seen)
+    count_answer(fleet, SERVICE, route, row, ms(at), observed)
 
 
-def feed(fleet: Fleet, kind: str, shares: list[float], begin=0.0, end=20.0, a_second=5):
-    """Let each worker of a kind fail its share of answers, five a second."""
+def add_answers(
+    fleet: Fleet, kind: str, shares: list[float], begin=0.0, end=20.0, per_second=5
+):
+    """Count answers of which each worker of a kind fails its share."""
     rng = random.Random(7)
     for number, share in enumerate(shares):
-        for step in range(int((end - begin) * a_second)):
+        for step in range(int((end - begin) * per_second)):
             failed = rng.random() < share
-            at = begin + step / a_second
-            see(fleet, f"{kind}-{number}", at, FAILED if failed else BEGAN)
+            at = begin + step / per_second
+            observe(fleet, f"{kind}-{number}", at, FAILED if failed else BEGAN)
 
 
 def ceiling(fleet: Fleet, epoch: int) -> float:
@@ -86,65 +92,65 @@
 
 
 class TestReference:
-    """What the leaving version shows excuses as much as its soundest worker shows."""
+    """The leaving version excuses as many faults as its healthiest worker shows."""
 
-    def test_sound_leaving_version_leaves_the_floor(self):
-        fleet = ordered()
-        feed(fleet, "old", [0.01] * 5)
+    def test_good_leaving_version_keeps_the_floor(self):
+        fleet = fleet_in_rollout()
+        add_answers(fleet, "old", [0.01] * 5)
         assert ceiling(fleet, 15) == 0.1
 
-    @pytest.mark.parametrize("ailing", [1, 3, 4])
-    def test_ailing_workers_do_not_raise_it(self, ailing):
-        fleet = ordered()
-        feed(fleet, "old", [0.5] * ailing + [0.0] * (5 - ailing))
+    @pytest.mark.parametrize("failing", [1, 3, 4])
+    def test_failing_workers_do_not_raise_the_ceiling(self, failing):
+        fleet = fleet_in_rollout()
+        add_answers(fleet, "old", [0.5] * failing + [0.0] * (5 - failing))
         assert ceiling(fleet, 15) < 0.13
 
-    def test_what_all_workers_show_raises_it(self):
-        fleet = ordered()
-        feed(fleet, "old", [0.08] * 5)
+    def test_faults_of_all_workers_raise_the_ceiling(self):
+        fleet = fleet_in_rollout()
+        add_answers(fleet, "old", [0.08] * 5)
         assert 0.11 < ceiling(fleet, 15) < 0.2
 
-    def test_nothing_excuses_more_than_a_quarter(self):
-        fleet = ordered()
-        feed(fleet, "old", [0.9] * 5)
+    def test_ceiling_is_at_most_a_quarter(self):
+        fleet = fleet_in_rollout()
+        add_answers(fleet, "old", [0.9] * 5)
         assert ceiling(fleet, 15) == MAX_CEILINGS[Finding.FAILED]
 
-    def test_spell_raises_it_while_it_lasts(self):
-        fleet = ordered()
-        feed(fleet, "old", [0.0] * 5, 0.0, 8.0)
-        feed(fleet, "old", [0.3] * 5, 8.0, 13.0)
-        feed(fleet, "old", [0.0] * 5, 13.0, 20.0)
+    def test_temporary_faults_raise_the_ceiling_while_they_last(self):
+        fleet = fleet_in_rollout()
+        add_answers(fleet, "old", [0.0] * 5, 0.0, 8.0)
+        add_answers(fleet, "old", [0.3] * 5, 8.0, 13.0)
+        add_answers(fleet, "old", [0.0] * 5, 13.0, 20.0)
         assert ceiling(fleet, 4) == 0.1
         assert ceiling(fleet, 10) == 0.25
         assert ceiling(fleet, 18) == 0.1
 
     def test_last_answers_count_when_no_newer_ones_come(self):
-        fleet = ordered()
-        feed(fleet, "old", [0.0] * 5, 0.0, 10.0)
-        feed(fleet, "old", [0.3] * 5, 10.0, 15.0)
+        fleet = fleet_in_rollout()
+        add_answers(fleet, "old", [0.0] * 5, 0.0, 10.0)
+        add_answers(fleet, "old", [0.3] * 5, 10.0, 15.0)
         assert ceiling(fleet, 20) == 0.25
 
-    def test_one_ailing_worker_of_the_entering_version_is_not_its_fault(self):
-        fleet = ordered()
-        feed(fleet, "old", [0.0] * 5)
-        feed(fleet, "new", [0.9, 0.0, 0.0], 12.0, 20.0)
+    def test_one_failing_worker_is_no_fault_of_the_entering_version(self):
+        fleet = fleet_in_rollout()
+        add_answers(fleet, "old", [0.0] * 5)
+        add_answers(fleet, "new", [0.9, 0.0, 0.0], 12.0, 20.0)
         assert log_evidence(fleet) < 0
-        feed(fleet, "new", [0.9, 0.9, 0.0], 12.0, 20.0)
+        add_answers(fleet, "new", [0.9, 0.9, 0.0], 12.0, 20.0)
         assert log_evidence(fleet) > 5.0
 
-    def test_slow_answers_of_few_events_do_not_hide_the_others(self):
-        fleet = ordered()
+    def test_answers_without_a_time_do_not_hide_slow_answers(self):
+        fleet = fleet_in_rollout()
         for at in range(12, 20):
             for number in range(5):
-                see(fleet, f"new-{number}", at, BEGAN)
-                see(fleet, f"new-{number}", at, SLOW if number % 2 else IN_TIME)
-                see(fleet, f"new-{number}", at, BEGAN)
+                observe(fleet, f"new-{number}", at, BEGAN)
+                observe(fleet, f"new-{number}", at, SLOW if number % 2 else IN_TIME)
+                observe(fleet, f"new-{number}", at, BEGAN)
         found = strongest_suspicion(pooled_tallies(row_of(fleet)), FULL_MS)
         assert (found.finding, found.answers, found.faulty) == (Finding.SLOW, 40, 16)
 
 
-class TestTold:
-    """Evidence reaches every box, late or after a restart, and counts once."""
+class TestExchange:
+    """Evidence reaches every box, late or after a restart, and is counted once."""
 
     def tell(self, teller: Fleet, hearer: Fleet, now: float) -> None:
         news = rollout_news(teller, row_of(teller), ms(now), hearer.identity.domain)
@@ -154,26 +160,26 @@
         teller_row.incarnation = teller.identity.incarnation
         hearer.peers[teller.identity.box] = teller_row
 
-    def test_box_that_was_not_heard_for_long_knows_all_within_seconds(self):
-        """Boxes told the newest three seconds alone: what was older was lost."""
-        one, other = ordered("box-1"), ordered("box-2")
-        feed(one, "new", [0.5] * 5, 0.0, 18.0)
+    def test_box_without_news_for_long_knows_all_tallies_within_seconds(self):
+        """If boxes sent only the newest three seconds, older evidence would be lost."""
+        one, other = fleet_in_rollout("box-1"), fleet_in_rollout("box-2")
+        add_answers(one, "new", [0.5] * 5, 0.0, 18.0)
         for turn in range(8):
             self.tell(one, other, 18.0 + turn * RETOLD_MS / 1_000)
         assert pooled_tallies(row_of(other)) == pooled_tallies(row_of(one))
 
-    def test_told_twice_counts_once(self):
-        one, other = ordered("box-1"), ordered("box-2", "south")
-        feed(one, "new", [0.5] * 5, 0.0, 3.0)
+    def test_tallies_sent_twice_count_once(self):
+        one, other = fleet_in_rollout("box-1"), fleet_in_rollout("box-2", "south")
+        add_answers(one, "new", [0.5] * 5, 0.0, 3.0)
         for _ in range(3):
             self.tell(one, other, 3.0)
         assert pooled_tallies(row_of(other)) == pooled_tallies(row_of(one))
 
-    def test_box_that_is_back_hears_what_its_ended_run_told(self):
-        one, other = ordered("box-1"), ordered("box-2")
-        feed(one, "new", [0.5] * 5, 0.0, 3.0)
+    def test_restarted_box_gets_the_tallies_of_its_former_run(self):
+        one, other = fleet_in_rollout("box-1"), fleet_in_rollout("box-2")
+        add_answers(one, "new", [0.5] * 5, 0.0, 3.0)
         self.tell(one, other, 3.0)
-        again = ordered("box-1")
+        again = fleet_in_rollout("box-1")
         again.identity = again.identity.__class__(
             again.identity.box,
             again.identity.domain,
@@ -184,19 +190,22 @@
         self.tell(other, again, 4.0)
         assert pooled_tallies(row_of(again)) == pooled_tallies(row_of(one))
 
-    def test_far_box_hears_a_sum_and_not_its_own(self):
-        one, far = ordered("box-1"), ordered("box-9", "south")
-        feed(one, "new", [0.5] * 5, 0.0, 2.0)
-        feed(far, "new", [0.5] * 5, 0.0, 2.0)
+    def test_box_of_another_domain_gets_a_sum_without_its_own_tallies(self):
+        one, far = fleet_in_rollout("box-1"), fleet_in_rollout("box-9", "south")
+        add_answers(one, "new", [0.5] * 5, 0.0, 2.0)
+        add_answers(far, "new", [0.5] * 5, 0.0, 2.0)
         self.tell(far, one, 2.0)
         news = rollout_news(one, row_of(one), ms(2.0), DomainId("south"))
         assert [(group.domain, group.box) for group in news.groups] == [("north", "")]
 
-    def test_of_many_workers_boxes_count_the_same_few(self):
-        one, other = ordered("box-1", workers=60), ordered("box-2", workers=60)
+    def test_boxes_sample_the_same_few_of_many_workers(self):
+        one, other = (
+            fleet_in_rollout("box-1", workers=60),
+            fleet_in_rollout("box-2", workers=60),
+        )
         for fleet in (one, other):
             for number in range(60):
-                see(fleet, f"old-{number}", 1.0, BEGAN)
+                observe(fleet, f"old-{number}", 1.0, BEGAN)
         counted = set(row_of(one).own.workers)
         assert counted == set(row_of(other).own.workers)
         assert SAMPLED_WORKERS / 2 <= len(counted) <= 2 * SAMPLED_WORKERS
@@ -207,24 +216,24 @@
     seed=st.integers(0, 10_000),
 )
 @settings(max_examples=60, deadline=None)
-def test_sound_version_is_not_blamed(share, seed):
-    """Whatever the share below the floor: of 60 that are drawn, none is blamed."""
-    fleet = ordered()
+def test_good_version_is_not_judged_bad(share, seed):
+    """No version is judged bad for any of 60 random shares below the floor."""
+    fleet = fleet_in_rollout()
     rng = random.Random(seed)
     for step in range(600):
         at = step / 30
         kind = "new" if at > 12 and rng.random() < 0.2 else "old"
         failed = rng.random() < share
         name = f"{kind}-{rng.randrange(5)}"
-        see(fleet, name, at, FAILED if failed else BEGAN)
+        observe(fleet, name, at, FAILED if failed else BEGAN)
     assert log_evidence(fleet) < EVIDENCE_THRESHOLD
 
 
 class Pool(RuleBasedStateMachine):
-    """Boxes that count, tell each other in any order, lose news and start anew.
+    """Boxes that count, exchange tallies in any order, and restart.
 
-    What a box knows never exceeds what was counted, and once all told each other of
-    everything, all know what the boxes that run counted.
+    The answers that a box knows never exceed those counted. After all boxes exchanged
+    everything, each knows the counts of all running boxes.
     """
 
     @initialize()
@@ -237,7 +246,7 @@
 
     def start(self, number):
         self.runs += 1
-        fleet = ordered(f"box-{number}", "north" if number < 2 else "south")
+        fleet = fleet_in_rollout(f"box-{number}", "north" if number < 2 else "south")
         me = fleet.identity
         run = Incarnation(f"{me.box}.{self.runs}")
         fleet.identity = me.__class__(me.box, me.domain, me.address, run)
@@ -246,7 +255,7 @@
     @rule(box=st.integers(0, 2), worker=st.integers(0, 4), number=st.integers(1, 5))
     def answer(self, box, worker, number):
         for _ in range(number):
-            see(self.boxes[box], f"new-{worker}", self.now, BEGAN)
+            observe(self.boxes[box], f"new-{worker}", self.now, BEGAN)
         self.counted += number
         self.own[box] += number
 
@@ -257,7 +266,7 @@
     @rule(teller=st.integers(0, 2), hearer=st.integers(0, 2))
     def tell(self, teller, hearer):
         if teller != hearer:
-            TestTold().tell(self.boxes[teller], self.boxes[hearer], self.now)
+            TestExchange().tell(self.boxes[teller], self.boxes[hearer], self.now)
 
     @rule(box=st.integers(0, 2))
     def restart(self, box):
@@ -282,7 +291,7 @@
                 for hearer in self.boxes:
                     if teller is not hearer:
                         at = self.now + turn * RETOLD_MS / 1_000
-                        TestTold().tell(teller, hearer, at)
+                        TestExchange().tell(teller, hearer, at)
         for fleet in self.boxes:
             assert self.known(fleet) >= sum(self.own)
 
--- a/tests/test_guarding.py
+++ b/tests/test_guarding.py
@@ -1,4 +1,4 @@
-"""Roll-outs: sequential tests, steps, limits shared by boxes."""
+"""Sequential tests, roll-out steps and limits shared by boxes."""
 
 import math
 import random
@@ -26,7 +26,7 @@
 
 
 class TestSequential:
-    def test_false_alarms_stay_under_alpha_with_a_look_at_each_rating(self):
+    def test_false_alarms_stay_under_alpha_with_a_test_at_each_rating(self):
         rng = random.Random(1)
         alpha, alarms, runs = 0.1, 0, 400
         for _ in range(runs):
@@ -38,27 +38,27 @@
                     break
         assert alarms / runs <= alpha
 
-    def test_evidence_grows_on_the_bad_side_only(self):
+    def test_evidence_grows_only_on_the_bad_side_of_the_bound(self):
         assert log_evidence_below(100, 50, 0.8) > 10
         assert log_evidence_below(100, 85, 0.8) < 0
         assert log_evidence_above(100, 30, 0.05) > 10
         assert log_evidence_above(100, 2, 0.05) < 0
 
-    def test_change_is_found_after_a_long_good_time(self):
+    def test_change_is_detected_after_many_good_epochs(self):
         good = [(50, 45)] * 50
         assert log_change_below(good, 0.8) == -math.inf
         assert log_change_below([*good, (50, 20)], 0.8) > 12
 
 
 class TestJudge:
-    def entered(self, **guards):
+    def entering_rollout(self, **guards):
         config = base_config()
         new = {"do": "declare_version", "version": "chico@2", "service": "redactor-ia"}
         enter = {"do": "enter", "version": "chico@2", "guards": guards}
         put(config, confirm_of(config, new, enter))
         return config, next(iter(config.rollouts.values()))
 
-    def seen(self, evidence: Evidence, name: str = "note", **counts: int) -> None:
+    def add_counts(self, evidence: Evidence, name: str = "note", **counts: int) -> None:
         cell = Cell("chico@2", name, "museo")
         observe(evidence, "box", 0, cell, Counts(**counts))
 
@@ -67,16 +67,16 @@
         return step.verdict if step else None
 
     def test_holds_with_no_ratings(self):
-        """A silent rater is not good news."""
-        config, row = self.entered()
+        """Missing ratings are no evidence that a version is good."""
+        config, row = self.entering_rollout()
         evidence = Evidence()
-        self.seen(evidence, runs=500)
+        self.add_counts(evidence, runs=500)
         assert self.verdict(config, row, evidence) is None
 
-    def test_advances_on_good_ratings_after_its_time(self):
-        config, row = self.entered()
+    def test_advances_on_good_ratings_after_the_stage_time(self):
+        config, row = self.entering_rollout()
         evidence = Evidence()
-        self.seen(evidence, runs=60, rated=60, good=58)
+        self.add_counts(evidence, runs=60, rated=60, good=58)
         assert self.verdict(config, row, evidence, at=1_000) is None
         assert self.verdict(config, row, evidence) is StepVerdict.ADVANCE
 
@@ -86,16 +86,16 @@
             {"runs": 60, "errors": 30},
             {"runs": 60, "slow": 50},
         ):
-            config, row = self.entered()
+            config, row = self.entering_rollout()
             evidence = Evidence()
-            self.seen(evidence, **counts)
+            self.add_counts(evidence, **counts)
             assert self.verdict(config, row, evidence) is StepVerdict.PULL_BACK
 
     def test_pulls_back_for_one_bad_class(self):
-        config, row = self.entered()
+        config, row = self.entering_rollout()
         evidence = Evidence()
-        self.seen(evidence, "description", runs=2000, rated=2000, good=1900)
-        self.seen(evidence, "note", runs=80, rated=80, good=20)
+        self.add_counts(evidence, "description", runs=2000, rated=2000, good=1900)
+        self.add_counts(evidence, "note", runs=80, rated=80, good=20)
         step = judge(config, row, evidence, "box", 100_000)
         assert step.verdict is StepVerdict.PULL_BACK
         assert "class note" in step.reason
@@ -108,14 +108,14 @@
         boxes = [Usage() for _ in range(3)]
         parts = (0.7, 0.2, 0.1)
         rng = random.Random(1)
-        taken = 0
+        admitted = 0
         for now in range(0, 60_000, 5):
             for index, usage in enumerate(boxes):
                 if rng.random() < parts[index] * 0.6:
                     refused = admit(usage, "o", limits, 3, now, now)
                     if refused is None:
                         finish(usage, "o", 0, now)
-                        taken += now >= 20_000
+                        admitted += now >= 20_000
             if now % 500 == 0:
                 for index, usage in enumerate(boxes):
                     tick_usage(usage, {"o": limits}, 3, now, 500)
@@ -123,7 +123,7 @@
                     for other in boxes:
                         if other is not usage:
                             hear_usage(other, rows, "x", now)
-        assert abs(taken / 40 / 60 - 1) <= 0.05
+        assert abs(admitted / 40 / 60 - 1) <= 0.05
 
     def test_budget_counts_what_others_spent(self):
         limits = Limits(budget=100)
--- a/tests/test_session_moves.py
+++ b/tests/test_session_moves.py
@@ -1,18 +1,16 @@
-"""Sessions keep their version while a roll-out is in the first half of its time.
-
-Seen: six requests of sessions that were on the leaving version ran on the entering one
-within four seconds of a good order, on a calm fleet; three are allowed in all.
-
-How it came about: callers' connections change boxes, so a third of the sessions are
-asked at more than one. What a session ran on was known to the box that had answered
-alone. Another box drew the version by the session's hash, and moved one session in
-twenty, however old it was; back at the first box, it moved once more.
-
-Cause: a choice on which all boxes must agree was made from what one box remembers.
-Proof: in seven plays with sessions in the log, each moved request was drawn at a box
-that remembered nothing of its session. The same traffic under 10,500 other hashes gave
-more than three moves in 0.51 % of orders, 0.58 in the mean (`bench/moves.py`): on most
-days the rule was kept by luck.
+"""Sessions keep their version in the first half of a roll-out's time.
+
+Six requests of sessions on the leaving version ran on the entering version within four
+seconds of a good order, in a fleet without faults; three in all are allowed.
+
+Callers' connections change boxes, so a third of the sessions reach more than one box,
+while only the box that answered a session knows its version. Another box selected the
+version by the session's hash, which moved one session in twenty, however old, and the
+first box moved it back. All boxes must agree on the version, so it must not depend on
+what one box remembers. In seven simulated runs, each moved request was at a box that
+did not know its session. With 10,500 other hashes, the same traffic moved more than
+three requests in 0.51 % of orders and 0.58 on average (`bench/moves.py`), so most runs
+do not show the fault.
 """
 
 import random
@@ -46,28 +44,28 @@
 OLD, NEW = VersionId("v1"), VersionId("v2")
 DURATION = ms(24)
 SESSION_MS = 5_000
-"""How long a session may pause, in ms."""
+"""Longest pause of a session, in ms."""
 
 ORDER_LAG_MS, WORKERS_LAG_MS = 100, 900
-"""Within which boxes see an order and the workers of its version, in ms."""
+"""Longest delays until boxes see an order and the workers of its version, in ms."""
 
 
 class Ran(t.NamedTuple):
-    """What a session's newest request ran on, and when it ended, in ms."""
+    """The version of a session's newest request, and when that request ended, in ms."""
 
     version: VersionId
     ended: int
 
 
 class Boxes:
-    """Boxes that share one order and callers' sessions, and who moved.
+    """Boxes that share one order and callers' sessions, and counts of moved requests.
 
     Parameters
     ----------
     lags : list of tuple
-        For each box, when it sees the order and when the workers, in ms.
+        When each box sees the order and its workers, in ms.
     order : int
-        The order's place in the operators' stream.
+        The order's offset in the operators' stream.
     """
 
     def __init__(self, lags: list[tuple[int, int]], order: int = 1) -> None:
@@ -81,9 +79,10 @@
         self.moved_back = 0
 
     def learn(self, number: int, now: int) -> None:
-        """Let a box see what it must have seen by now.
+        """Apply what a box has learned by `now`.
 
-        Workers of the version start after the order, so no box knows them before it.
+        Workers of the version start after the order, so no box knows them before the
+        order.
         """
         fleet = self.fleets[number]
         order_lag, workers_lag = self.lags[number]
@@ -98,8 +97,8 @@
         """Answer a request of a session at a box; it ends `took` ms later."""
         self.learn(number, now)
         fleet = self.fleets[number]
-        found = version_rule_for(fleet, SERVICE, session, f"r{now}", Millis(now))
-        version = NEW if found.only == NEW else OLD
+        result = version_rule_for(fleet, SERVICE, session, f"r{now}", Millis(now))
+        version = NEW if result.only == NEW else OLD
         before = self.ran.get(session)
         if before is not None and before.ended <= now < before.ended + SESSION_MS:
             in_first_half = 0 <= now < DURATION // 2
@@ -109,10 +108,11 @@
         self.ran[session] = Ran(version, now + took)
 
 
-def play(order: int) -> Boxes:
-    """Play one order over six boxes: sessions of 1.6 requests in the mean, 40 a second.
+def simulate(order: int) -> Boxes:
+    """Simulate one order on six boxes, with 40 sessions a second.
 
-    Every request comes to a box at random, as callers' connections do.
+    Sessions have 1.6 requests on average. Each request goes to a random box, as
+    callers' connections do.
     """
     rng = random.Random(order)
     lags = [
@@ -134,13 +134,13 @@
     return boxes
 
 
-def test_no_session_moves_in_the_first_half_whichever_box_it_comes_to():
-    moved = [play(order).moved_early for order in range(1, 101)]
+def test_no_session_moves_in_the_first_half_at_any_box():
+    moved = [simulate(order).moved_early for order in range(1, 101)]
     assert moved == [0] * len(moved)
 
 
-def test_no_session_moves_back_whichever_box_it_comes_to():
-    moved = [play(order).moved_back for order in range(1, 101)]
+def test_no_session_moves_back_at_any_box():
+    moved = [simulate(order).moved_back for order in range(1, 101)]
     assert moved == [0] * len(moved)
 
 
@@ -148,60 +148,59 @@
 
 
 def box_with_evidence(answers: int, failed: int) -> Fleet:
-    """Return tables of a box that remembers no session, late in an order's time."""
+    """Return tables of a box that knows no session, late in an order's time."""
     fleet = make_fleet()
     add_worker(fleet, make_worker("old"))
     add_worker(fleet, make_worker("new", version=NEW))
     apply_order(fleet, SERVICE, NEW, Offset(1), DURATION, Millis(0))
     for number in range(answers):
-        found = Finding.FAILED if number < failed else None
-        note_result(fleet, SERVICE, ROUTE, {NEW}, ms(13), found)
+        result = Finding.FAILED if number < failed else None
+        note_result(fleet, SERVICE, ROUTE, {NEW}, ms(13), result)
     return fleet
 
 
-def repeated_on(fleet: Fleet, session: str) -> VersionId:
-    """Return where a request of a session goes that failed on the entering version."""
-    found = version_rule_for(fleet, SERVICE, session, "r1", ms(14), ROUTE, {NEW})
-    return NEW if found.only == NEW else OLD
+def version_of_repeat(fleet: Fleet, session: str) -> VersionId:
+    """Return the version for the repeat of a request that failed on the new one."""
+    result = version_rule_for(fleet, SERVICE, session, "r1", ms(14), ROUTE, {NEW})
+    return NEW if result.only == NEW else OLD
 
 
 @pytest.mark.parametrize(("answers", "failed"), [(1, 1), (2, 2), (30, 3)])
-def test_session_is_repeated_on_a_sound_version_at_a_box_that_never_saw_it(
+def test_session_is_repeated_on_a_good_version_at_a_box_that_does_not_know_it(
     answers, failed
 ):
-    """Where an engine fails, its version does not: the request goes to another one."""
+    """A failing engine is no fault of the version: another engine gets the repeat."""
     fleet = box_with_evidence(answers, failed)
-    moved = [name for name in DRAWN_EARLY if repeated_on(fleet, name) == OLD]
+    moved = [name for name in FIRST_SESSIONS if version_of_repeat(fleet, name) == OLD]
     assert not moved
 
 
 @pytest.mark.parametrize(("answers", "failed"), [(3, 3), (12, 3), (30, 9)])
-def test_session_is_repeated_on_the_leaving_version_where_the_other_fails(
-    answers, failed
-):
+def test_session_is_repeated_on_the_leaving_version_if_the_other_fails(answers, failed):
     fleet = box_with_evidence(answers, failed)
-    assert all(repeated_on(fleet, name) == OLD for name in DRAWN_EARLY)
+    assert all(version_of_repeat(fleet, name) == OLD for name in FIRST_SESSIONS)
 
 
-def test_session_is_not_repeated_at_the_one_worker_that_failed_it():
+def test_session_is_not_repeated_on_the_only_worker_that_failed_it():
     fleet = box_with_evidence(answers=30, failed=1)
-    for name in DRAWN_EARLY:
+    for name in FIRST_SESSIONS:
         tried = {WorkerId("new")}
-        found = version_rule_for(
+        result = version_rule_for(
             fleet, SERVICE, name, "r1", ms(14), ROUTE, {NEW}, tried=tried
         )
-        assert found.never == {NEW}
+        assert result.never == {NEW}
 
 
-DRAWN_EARLY = [name for name in map(str, range(400)) if unit_hash("1", name) < 0.18]
-"""Sessions that are drawn early: others never come near the rule."""
+FIRST_SESSIONS = [name for name in map(str, range(400)) if unit_hash("1", name) < 0.18]
+"""Sessions with the lowest hashes, which enter first; others never enter in these
+tests."""
 
 
 class SessionsAcrossBoxes(RuleBasedStateMachine):
-    """Sessions that come to any box while boxes learn of an order and its workers.
+    """Sessions that reach any box while boxes learn of an order and its workers.
 
-    No request may run on the entering version in the first half of the order's time if
-    the one before it ran on the leaving one, or the other way round at any time.
+    No session may move to the entering version in the first half of the order's time,
+    or back to the leaving version at any time.
     """
 
     @initialize(
@@ -222,14 +221,14 @@
     @precondition(lambda self: self.now > 0)
     @rule(box=st.integers(0, 2))
     def restart(self, box):
-        """A box starts afresh and hears of the order from another one."""
+        """Restart a box, which then learns of the order from another box."""
         fleet = make_fleet(f"box-{box}")
         add_worker(fleet, make_worker("old"))
         self.boxes.fleets[box] = fleet
 
     @rule(
         box=st.integers(0, 2),
-        session=st.sampled_from(DRAWN_EARLY),
+        session=st.sampled_from(FIRST_SESSIONS),
         took=st.integers(0, 4_000),
     )
     def ask(self, box, session, took):
