--- a/bench/choice.py
+++ b/bench/choice.py
@@ -19,9 +19,9 @@
 from spanshunt.ids import ServiceId
 from spanshunt.ids import VersionId
 from spanshunt.systems.choice import choose
-from spanshunt.systems.choice_rows import Asked
-from spanshunt.systems.learning import expire
-from spanshunt.systems.learning import observe
+from spanshunt.systems.choice_rows import VersionRequest
+from spanshunt.systems.learning import expire_epochs
+from spanshunt.systems.learning import record_counts
 from spanshunt.systems.preferring import Preferences
 from spanshunt.tables.config import Config
 from spanshunt.tables.evidence import Cell
@@ -111,7 +111,9 @@
     expired = 0.0
 
     def decide(a: Arrival, key: str) -> Decision:
-        asked = Asked(ServiceId(work.service), a.request_class, a.org, draw_key=key)
+        asked = VersionRequest(
+            ServiceId(work.service), a.request_class, a.org, draw_key=key
+        )
         choice = choose(
             config, evidence.pool, asked, lambda _version: True, memory, _wall(a.at)
         ).unwrap()
@@ -119,15 +121,15 @@
 
     def rated(a: Arrival, version: str, good: bool, at: float) -> None:
         seen = Counts(rated=1, good=int(good))
-        observe(evidence, "box", _wall(at), _cell(a, version), seen)
+        record_counts(evidence, "box", _wall(at), _cell(a, version), seen)
 
     def ran(a: Arrival, version: str, at: float) -> None:
         seen = Counts(runs=1, prompt_tokens=a.prompt, output_tokens=a.output)
-        observe(evidence, "box", _wall(at), _cell(a, version), seen)
+        record_counts(evidence, "box", _wall(at), _cell(a, version), seen)
         nonlocal expired
         if at - expired >= 60:
             expired = at
-            expire(evidence, _wall(at))
+            expire_epochs(evidence, _wall(at))
 
     return Policy("spanshunt", decide, rated, ran)
 
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -76,10 +76,10 @@
 
 def _allowing(_org: t.Any, asked: t.Any, row: t.Any, holds: t.Any) -> str:
     everything = OrgRow(name="x", allowed=(row.model,))
-    return _exclusion(everything, asked, row, holds)
+    return _exclusion_reason(everything, asked, row, holds)
 
 
-_exclusion = choice._exclusion
+_exclusion_reason = choice._exclusion_reason
 _fold_claims = claiming.fold_claims
 _moved = fold.moved
 
@@ -140,7 +140,7 @@
     Mutant(
         "versions not allowed are chosen",
         choice,
-        "_exclusion",
+        "_exclusion_reason",
         _allowing,
         "allowed-version",
     ),
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -26,7 +26,7 @@
 from spanshunt.records import encode_record
 from spanshunt.systems.fold import fold_record
 from spanshunt.systems.guarding import judge
-from spanshunt.systems.learning import observe
+from spanshunt.systems.learning import record_counts
 from spanshunt.tables.config import Config
 from spanshunt.tables.config import GuardRails
 from spanshunt.tables.config import RolloutRow
@@ -157,7 +157,7 @@
         slow = not error and self.rng.random() < (fault.slow if bad else 0.02)
         cell = Cell(VERSION, ClassId(name), OrgId(org))
         seen = Counts(runs=1, errors=int(error), slow=int(slow))
-        observe(self.evidence, "box", _wall(at), cell, seen)
+        record_counts(self.evidence, "box", _wall(at), cell, seen)
         good = self.rng.random() < (fault.quality if bad else SOUND)
         if not error:
             delay = self.rng.uniform(2, 40)
@@ -169,7 +169,7 @@
         while self.late and self.late[0][0] <= at:
             when, cell, good = heapq.heappop(self.late)
             seen = Counts(rated=1, good=int(good))
-            observe(self.evidence, "box", _wall(when), cell, seen)
+            record_counts(self.evidence, "box", _wall(when), cell, seen)
             self.counts[0] += 1
             self.counts[1] += good
         if guarded:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -46,12 +46,12 @@
 from spanshunt.systems.gossip import hear_answer
 from spanshunt.systems.gossip import tell
 from spanshunt.systems.journaling import seal
-from spanshunt.systems.learning import observe
+from spanshunt.systems.learning import record_counts
 from spanshunt.systems.limiting import admit
 from spanshunt.systems.limiting import tick_usage
-from spanshunt.systems.worker_choice import eligible
-from spanshunt.systems.worker_choice import least_of_sample
-from spanshunt.systems.worker_choice import let_back
+from spanshunt.systems.worker_choice import eligible_workers
+from spanshunt.systems.worker_choice import end_ejections
+from spanshunt.systems.worker_choice import least_loaded_picker
 from spanshunt.tables.config import Config
 from spanshunt.tables.config import Limits
 from spanshunt.tables.config import OrgRow
@@ -190,7 +190,7 @@
             ClassId(f"class-{rng.randrange(3)}"),
             OrgId(f"org-{rng.randrange(10)}"),
         )
-        observe(
+        record_counts(
             box.evidence, box.identity.incarnation, Millis(now), cell, Counts(runs=1)
         )
         org = OrgId(f"org-{rng.randrange(10)}")
@@ -272,17 +272,21 @@
 def _table_slopes() -> None:
     sizes = (100, 1_000, 4_000, 10_000)
     rng = random.Random(1)
-    pick = least_of_sample(rng)
+    pick = least_loaded_picker(rng)
     choosing, letting, memory = [], [], []
     for size in sizes:
         state = _with_workers(size)
 
         def choose_one(s: State = state) -> None:
-            rows = eligible(s.workers, ServiceId("s"), VersionId("mini@1"), (), rng)
+            rows = eligible_workers(
+                s.workers, ServiceId("s"), VersionId("mini@1"), (), rng
+            )
             pick(rows)
 
         choosing.append(Point(size, timed(choose_one, 51)))
-        letting.append(Point(size, timed(lambda s=state: let_back(s.workers, 0), 51)))
+        letting.append(
+            Point(size, timed(lambda s=state: end_ejections(s.workers, 0), 51))
+        )
         memory.append(Point(size, memory_of(lambda n=size: _with_workers(n).workers)))
     show("choosing a worker", "us a request, by workers", choosing)
     show("letting workers back, one tick", "us, by workers", letting)
@@ -344,7 +348,7 @@
     state = a_state(0)
     for number in range(size):
         cell = Cell(VersionId("mini@1"), ClassId("note"), OrgId(f"org-{number}"))
-        observe(state.evidence, "box", Millis(0), cell, Counts(runs=1))
+        record_counts(state.evidence, "box", Millis(0), cell, Counts(runs=1))
     return state.evidence
 
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -29,7 +29,7 @@
 from spanshunt.records import Release
 from spanshunt.records import Usage
 from spanshunt.systems.choice import choose
-from spanshunt.systems.choice_rows import Asked
+from spanshunt.systems.choice_rows import VersionRequest
 from spanshunt.systems.claiming import fold_claims
 from spanshunt.systems.claiming import may_send
 from spanshunt.systems.claiming import start_at
@@ -207,7 +207,7 @@
             return
         if ORG not in state.config.orgs:
             return
-        asked = Asked(SERVICE, t.cast("t.Any", "default"), ORG, draw_key="x")
+        asked = VersionRequest(SERVICE, t.cast("t.Any", "default"), ORG, draw_key="x")
         memory: t.Any = PreferenceCache()
         choice = choose(
             state.config,
--- a/src/spanshunt/admission.py
+++ b/src/spanshunt/admission.py
@@ -20,7 +20,7 @@
 from .refusals import Refusal
 from .router import Router
 from .session_tokens import SessionToken
-from .systems.choice_rows import Asked
+from .systems.choice_rows import VersionRequest
 from .systems.limiting import OverLimit
 from .systems.limiting import admit
 from .tables.config import Config
@@ -76,7 +76,7 @@
     ----------
     request : str
         Its id.
-    asked : Asked
+    asked : VersionRequest
         What is asked for.
     fields, raw : struct, dict
         The body, as read and as it came.
@@ -89,7 +89,7 @@
     """
 
     request: RequestId
-    asked: Asked
+    asked: VersionRequest
     fields: ChatFields
     raw: RawBody
     session: SessionToken | None
@@ -183,7 +183,7 @@
     token = session.ok_value
     pin_name = f"{found.service.name}/{found.named}"
     pin = token.pins.get(pin_name, VersionId("")) if token else VersionId("")
-    asked = Asked(
+    asked = VersionRequest(
         service=ServiceId(found.service.name),
         request_class=ClassId(row.name),
         org=OrgId(org.name),
--- a/src/spanshunt/attempt_outcomes.py
+++ b/src/spanshunt/attempt_outcomes.py
@@ -12,8 +12,8 @@
 from .ports import SendFault
 from .ports import SilentWorkerError
 from .ports import TruncatedAnswerError
-from .systems.estimating import note_first_event
-from .systems.estimating import speed_of
+from .systems.estimating import prefill_speed
+from .systems.estimating import record_first_event
 from .systems.outages import note_domain_unreached
 from .systems.pacing import is_slow_writing
 from .systems.pacing import note_pace
@@ -114,7 +114,7 @@
     """Take in how soon a worker began to answer."""
     fleet, route = core.fleet, state.admitted.route
     read = state.call.tokens.read
-    if attempt.effort is not None:
+    if attempt.prompt is not None:
         _note_first_event(core, state, attempt, first_ms)
     _count(core, state, attempt, BEGAN)
     if is_slow(fleet, route, attempt.model, read, first_ms):
@@ -163,17 +163,17 @@
     core: Core, state: CatalogRequest, attempt: CatalogAttempt, first_ms: int
 ) -> None:
     """Take in how far an engine was from what was expected of it."""
-    fleet, effort, expected = core.fleet, attempt.effort, attempt.expected
-    assert effort is not None
+    fleet, prompt, expected = core.fleet, attempt.prompt, attempt.expected
+    assert prompt is not None
     now = core.clock.now()
-    note_first_event(fleet, attempt.worker, effort, expected, first_ms, now)
-    speed = speed_of(fleet, effort.service, effort.model)
+    record_first_event(fleet, attempt.worker, prompt, expected, first_ms, now)
+    speed = prefill_speed(fleet, prompt.service, prompt.model)
     log_event(
         "INFO",
         "first event",
         request=state.request,
         worker=attempt.worker.name,
-        model=effort.model,
+        model=prompt.model,
         first_ms=first_ms,
         expected_ms=round(expected.first_ms),
         unread=round(expected.unread),
--- a/src/spanshunt/catalog_calls.py
+++ b/src/spanshunt/catalog_calls.py
@@ -39,9 +39,9 @@
 from .request_state import Ending
 from .request_state import WorkerFailure
 from .systems.admitting import Admitted
-from .systems.cascading import note_lateness
+from .systems.cascading import record_lateness
 from .systems.ending import note_return
-from .systems.estimating import note_prompt
+from .systems.estimating import record_sent_prompt
 from .systems.estimating import urgency_of
 from .systems.following_workers import note_replaced
 from .systems.outages import note_domain_reached
@@ -180,7 +180,7 @@
 
 def _urgency(state: CatalogRequest, attempt: CatalogAttempt) -> int:
     """Return how urgent a request is at its worker; what goes on goes first."""
-    if attempt.effort is None:
+    if attempt.prompt is None:
         return state.admitted.priority
     if state.last_event is not None:
         return 0
@@ -189,11 +189,11 @@
 
 def _note_prompt(core: Core, state: CatalogRequest, attempt: CatalogAttempt) -> None:
     """Take in that an engine will read a prompt."""
-    effort = attempt.effort
-    if effort is None:
+    prompt = attempt.prompt
+    if prompt is None:
         return
-    own = PromptPart(state.request, effort.read - effort.shared_tokens)
-    note_prompt(core.fleet, attempt.worker, effort, own, core.clock.now())
+    own = PromptPart(state.request, prompt.read - prompt.shared_tokens)
+    record_sent_prompt(core.fleet, attempt.worker, prompt, own, core.clock.now())
 
 
 async def _send(
@@ -301,9 +301,9 @@
     note_first(core, state, attempt, first_ms)
     if wants_better(core, state, attempt, found, first_ms):
         return Ending.BETTER
-    if attempt.effort is not None:
+    if attempt.prompt is not None:
         spent_ms = now - state.began
-        note_lateness(core.fleet, attempt.service, state.admitted.route, spent_ms)
+        record_lateness(core.fleet, attempt.service, state.admitted.route, spent_ms)
     state.version = version_of(attempt)
     if state.admitted.route.kind is RequestKind.STREAM:
         await relay_stream(core, state, attempt, found, reply)
--- a/src/spanshunt/catalog_state.py
+++ b/src/spanshunt/catalog_state.py
@@ -19,8 +19,8 @@
 from .settling import Counter
 from .systems.admitting import Admitted
 from .systems.cascading import ModelPlan
-from .systems.estimating import Effort
-from .systems.estimating import Estimate
+from .systems.estimating import FirstEventEstimate
+from .systems.estimating import Prompt
 from .systems.ramping import VersionRule
 from .systems.repeats import RepeatBounds
 from .tables.fleet import Fleet
@@ -42,9 +42,9 @@
         Workers that the choice was among.
     rule : VersionRule
         Which versions might answer, and why.
-    effort : Effort or None
+    prompt : Prompt or None
         What its prompt asks of the engine; None for plain requests.
-    expected : Estimate
+    expected : FirstEventEstimate
         What it was expected to meet there.
     passed_over : tuple of str
         Workers that were left out for a limit or a rest of theirs, for the log.
@@ -65,8 +65,8 @@
     report_age_ms: int
     candidates: int
     rule: VersionRule = VersionRule()
-    effort: Effort | None = None
-    expected: Estimate = Estimate()
+    prompt: Prompt | None = None
+    expected: FirstEventEstimate = FirstEventEstimate()
     passed_over: tuple[str, ...] = ()
     slow: bool = False
     first_at: Millis = Millis(-1)
--- a/src/spanshunt/daemon.py
+++ b/src/spanshunt/daemon.py
@@ -48,10 +48,10 @@
 from .settings import read_secret
 from .systems.freshness import prove_fresh
 from .systems.freshness import quorum_time
-from .systems.learning import expire
+from .systems.learning import expire_epochs
 from .systems.limiting import tick_usage
-from .systems.worker_choice import least_of_sample
-from .systems.worker_choice import let_back
+from .systems.worker_choice import end_ejections
+from .systems.worker_choice import least_loaded_picker
 from .tables.identity import Identity
 from .tables.state import new_state
 from .utils import hash_secret
@@ -184,7 +184,7 @@
             signer=SessionSigner(keys),
             histograms=Histograms(),
             metrics=metrics,
-            picker=least_of_sample(rng),
+            picker=least_loaded_picker(rng),
             operators=self._operators(),
             stop=self.stop_asked,
             on_broken=self._on_broken,
@@ -226,7 +226,7 @@
     async def _tick(self) -> None:
         router, now = self.router, self.clock.now()
         state = router.state
-        let_back(state.workers, now)
+        end_ejections(state.workers, now)
         prove_fresh(state, quorum_time(state, now))
 
     async def _tick_limits(self) -> None:
@@ -236,7 +236,7 @@
         tick_usage(state.usage, limits, router.boxes(), now, _LIMITS_MS)
 
     async def _expire(self) -> None:
-        expire(self.router.state.evidence, self.clock.wall())
+        expire_epochs(self.router.state.evidence, self.clock.wall())
 
     async def _serve(self, app: web.Application, address: str) -> int:
         host, _, port = address.rpartition(":")
--- a/src/spanshunt/engine_news.py
+++ b/src/spanshunt/engine_news.py
@@ -2,8 +2,8 @@
 
 from .ids import Millis
 from .peers.news import News
-from .systems.estimating import take_read
-from .systems.estimating import take_speed
+from .systems.estimating import apply_peer_prefill
+from .systems.estimating import merge_prefill_speed
 from .systems.pacing import take_pace
 from .tables.engines import PrefillSpeed
 from .tables.engines import PromptPart
@@ -15,7 +15,7 @@
     """Take in what a peer tells of engines; its newest word of waits counts alone."""
     for told in news.speeds:
         speed = PrefillSpeed(told.read_ms, told.base_ms)
-        take_speed(fleet, told.service, told.model, speed)
+        merge_prefill_speed(fleet, told.service, told.model, speed)
         if told.gap_ms > 0.0:
             take_pace(fleet, told.service, told.model, told.gap_ms)
     for row in fleet.workers.rows.values():
@@ -26,4 +26,4 @@
             reading.peer_prefill_ms[news.box] = (float(waiting.reading_ms), now)
     for read in news.reads:
         shared = tuple(PromptPart(*part) for part in read.shared)
-        take_read(fleet, RecentPrefill(read.worker, read.model, shared, now))
+        apply_peer_prefill(fleet, RecentPrefill(read.worker, read.model, shared, now))
--- a/src/spanshunt/fleet_report.py
+++ b/src/spanshunt/fleet_report.py
@@ -12,7 +12,7 @@
 from .ids import VersionId
 from .ids import WorkerId
 from .ids import WorkerIncarnation
-from .systems.estimating import others_ms
+from .systems.estimating import others_wait_ms
 from .systems.evacuating import emptied_domains
 from .systems.evacuating import is_emptied
 from .systems.exposing import entering_share
@@ -254,7 +254,7 @@
         slots=row.slots,
         inflight=row.inflight,
         error_rate=round(row.error_rate, 2),
-        waiting_ms=round(row.prefill_ms + others_ms(row, now)),
+        waiting_ms=round(row.prefill_ms + others_wait_ms(row, now)),
         out=_why_out(fleet, row, now),
     )
 
--- a/src/spanshunt/model_calls.py
+++ b/src/spanshunt/model_calls.py
@@ -32,8 +32,8 @@
 from .systems.invariants import check_session
 from .systems.invariants import check_version
 from .systems.invariants import check_worker
-from .systems.worker_choice import eligible
-from .systems.worker_choice import load_of
+from .systems.worker_choice import eligible_workers
+from .systems.worker_choice import estimated_load
 
 MOST_ATTEMPTS = 3
 """Attempts of one version before the first byte of the answer, on different workers."""
@@ -101,14 +101,14 @@
     if isinstance(chosen, Err):
         return chosen
     choice = chosen.ok_value
-    rows = eligible(
+    rows = eligible_workers(
         tables.workers, asked.service, choice.version, state.tried, router.rng
     )
     if not rows:
         detail = f"no worker that holds {choice.version} takes work now"
         return Err(Refusal(Problem.NO_WORKER, detail, retry_ms=_RETRY_MS))
     worker = router.picker(rows)
-    if load_of(worker) >= FULL_LOAD:
+    if estimated_load(worker) >= FULL_LOAD:
         detail = f"the workers that hold {choice.version} are full"
         return Err(Refusal(Problem.OVERLOADED, detail, retry_ms=_RETRY_MS))
     return Ok(ChatAttempt(worker=worker, model=ModelId(choice.version), choice=choice))
@@ -159,7 +159,7 @@
         worker=attempt.worker.name,
         version=version,
         rule=attempt.choice.rule.name.lower(),
-        load=round(load_of(attempt.worker), 2),
+        load=round(estimated_load(attempt.worker), 2),
         load_age_ms=attempt.sent - attempt.worker.reported_at,
         send=state.sends + 1,
         left_ms=state.limit - attempt.sent,
--- a/src/spanshunt/observations.py
+++ b/src/spanshunt/observations.py
@@ -9,11 +9,11 @@
 from .ratings import rate_later
 from .router import Router
 from .sse import TokenUsage
-from .systems.learning import observe
-from .systems.preferring import CONFIDENT
-from .systems.preferring import UNSURE
-from .systems.worker_choice import note_failure
-from .systems.worker_choice import note_success
+from .systems.learning import record_counts
+from .systems.preferring import CONFIDENT_SUFFIX
+from .systems.preferring import UNSURE_SUFFIX
+from .systems.worker_choice import record_failure
+from .systems.worker_choice import record_success
 from .tables.evidence import Cell
 from .tables.evidence import Counts
 
@@ -28,7 +28,7 @@
 
 def _sure_class(name: ClassId, usage: TokenUsage) -> ClassId:
     """Return the class that an answer also counts under, by the engine's confidence."""
-    return ClassId(name + (CONFIDENT if is_sure(usage) else UNSURE))
+    return ClassId(name + (CONFIDENT_SUFFIX if is_sure(usage) else UNSURE_SUFFIX))
 
 
 def rate(router: Router, state: ChatRequest, attempt: ChatAttempt, text: str) -> None:
@@ -47,7 +47,7 @@
     _observe(router, state, attempt, seen)
     tokens = attempt.usage.completion_tokens if attempt.usage else 0
     token_ms = (attempt.ended - attempt.first) / max(1, tokens - 1)
-    note_success(attempt.worker, ttft, token_ms)
+    record_success(attempt.worker, ttft, token_ms)
     _record_times(router, state, attempt, ttft, token_ms)
 
 
@@ -56,7 +56,7 @@
 ) -> None:
     """Take in an attempt that brought no answer that could be given."""
     _observe(router, state, attempt, Counts(runs=1, errors=1))
-    note_failure(router.state.workers, attempt.worker, router.clock.now())
+    record_failure(router.state.workers, attempt.worker, router.clock.now())
     router.metrics.count("attempt.failed")
     log_event(
         "WARNING",
@@ -75,7 +75,7 @@
     """Count what was seen for the version, and by how sure its engine was."""
     evidence, origin = router.state.evidence, router.state.identity.incarnation
     for cell in _cells(state, attempt):
-        observe(evidence, origin, router.clock.wall(), cell, seen)
+        record_counts(evidence, origin, router.clock.wall(), cell, seen)
 
 
 def _cells(state: ChatRequest, attempt: ChatAttempt) -> list[Cell]:
--- a/src/spanshunt/operators.py
+++ b/src/spanshunt/operators.py
@@ -26,7 +26,7 @@
 from .refusals import Refusal
 from .router import OperatorKey
 from .router import Router
-from .systems.choice_rows import Asked
+from .systems.choice_rows import VersionRequest
 from .tables.config import HistoryRow
 from .utils import decode_document
 from .utils import hash_secret
@@ -235,7 +235,7 @@
             known = ", ".join(sorted(router.state.config.services))
             detail = f"query service or class: not known; services: {known}"
             return _refuse(Refusal(Problem.BAD_REQUEST, detail))
-        asked = Asked(
+        asked = VersionRequest(
             service=ServiceId(service.name),
             request_class=ClassId(row.name),
             org=OrgId(org),
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -4,7 +4,7 @@
 from ..ids import Incarnation
 from ..ids import Millis
 from ..ids import Offset
-from ..systems.estimating import newest_reads
+from ..systems.estimating import reportable_prefills
 from ..systems.following_workers import ListedWorker
 from ..systems.following_workers import is_listed_leaving
 from ..systems.quarantining import told_suspects
@@ -245,7 +245,7 @@
     """Return the prompts that this box sent to engines of late."""
     return tuple(
         ReadNews(read.worker, read.model, read.shared_parts)
-        for read in newest_reads(fleet, now)
+        for read in reportable_prefills(fleet, now)
     )
 
 
--- a/src/spanshunt/plain_calls.py
+++ b/src/spanshunt/plain_calls.py
@@ -37,10 +37,10 @@
 from .systems.invariants import check_service
 from .systems.invariants import check_worker
 from .systems.journaling import call_usage
-from .systems.worker_choice import eligible
-from .systems.worker_choice import load_of
-from .systems.worker_choice import note_failure
-from .systems.worker_choice import note_success
+from .systems.worker_choice import eligible_workers
+from .systems.worker_choice import estimated_load
+from .systems.worker_choice import record_failure
+from .systems.worker_choice import record_success
 from .tables.claims import CallAnswer
 from .tables.config import ServiceRow
 
@@ -184,7 +184,9 @@
 
 def _plan(router: Router, state: PlainRequest) -> Result[Attempt, Refusal]:
     service = ServiceId(state.call.service.name)
-    rows = eligible(router.state.workers, service, None, state.tried, router.rng)
+    rows = eligible_workers(
+        router.state.workers, service, None, state.tried, router.rng
+    )
     if rows:
         return Ok(Attempt(worker=router.picker(rows)))
     detail = "no worker takes calls now"
@@ -207,7 +209,7 @@
         org=state.org,
         config=tables.config.next_offset,
         worker=worker.name,
-        load=round(load_of(worker), 2),
+        load=round(estimated_load(worker), 2),
         load_age_ms=attempt.sent - worker.reported_at,
         send=state.sends + 1,
         left_ms=state.limit - attempt.sent,
@@ -238,7 +240,7 @@
     """Give the answer, whatever its status, once it is whole and billed."""
     body = await found.read()
     await _bill(router, state)
-    note_success(attempt.worker, router.clock.now() - attempt.sent, 0.0)
+    record_success(attempt.worker, router.clock.now() - attempt.sent, 0.0)
     if state.claimed:
         content_type = found.headers.get("Content-Type", "")
         answer = CallAnswer(found.status, content_type, body)
@@ -261,7 +263,7 @@
     router: Router, state: PlainRequest, attempt: Attempt, detail: str
 ) -> None:
     worker = attempt.worker
-    note_failure(router.state.workers, worker, router.clock.now())
+    record_failure(router.state.workers, worker, router.clock.now())
     router.metrics.count("attempt.failed")
     log_event(
         "WARNING",
--- a/src/spanshunt/planning.py
+++ b/src/spanshunt/planning.py
@@ -19,15 +19,15 @@
 from .keeping_back import kept_back_refusal
 from .refusals import Problem
 from .refusals import Refusal
-from .systems.cascading import Prospect
-from .systems.cascading import note_engine_worth
+from .systems.cascading import EscalationProspect
 from .systems.cascading import plan_models
-from .systems.estimating import Effort
-from .systems.estimating import Estimate
-from .systems.placing import Wanted
-from .systems.placing import held_off
-from .systems.placing import open_in_ms
-from .systems.placing import place
+from .systems.cascading import record_engine_gain
+from .systems.estimating import FirstEventEstimate
+from .systems.estimating import Prompt
+from .systems.placing import PlacementRequest
+from .systems.placing import choose_worker
+from .systems.placing import throttle_wait_ms
+from .systems.placing import throttled_workers
 from .systems.quarantining import is_suspected
 from .systems.quarantining import may_be_sent
 from .systems.ramping import VersionRule
@@ -64,10 +64,10 @@
     rule = _version_rule(core, state)
     model = _model(core, state, service, rule)
     eager = _is_eager(core, state)
-    wanted = _wanted(core, state, service, rule, model, eager=eager)
-    placed = place(core.fleet, wanted, core.clock.now(), core.rng)
+    request = _placement_request(core, state, service, rule, model, eager=eager)
+    placed = choose_worker(core.fleet, request, core.clock.now(), core.rng)
     if placed is None:
-        return Err(_none_takes(core, state, wanted))
+        return Err(_none_takes(core, state, request))
     return Ok(
         CatalogAttempt(
             worker=placed.worker,
@@ -77,9 +77,9 @@
             report_age_ms=placed.report_age_ms,
             candidates=placed.candidates,
             rule=rule,
-            effort=_effort(state, service, model),
-            expected=placed.expected or Estimate(),
-            passed_over=_passed_over(core, wanted),
+            prompt=_prompt(state, service, model),
+            expected=placed.expected or FirstEventEstimate(),
+            passed_over=_passed_over(core, request),
         )
     )
 
@@ -164,7 +164,7 @@
         return ModelId("")
     if state.model_plan is None:
         prospect = larger_prospect(core, state, service, rule)
-        note_engine_worth(core.fleet, route, service, call.tokens, prospect.expected)
+        record_engine_gain(core.fleet, route, service, call.tokens, prospect.expected)
         state.model_plan = plan_models(
             core.fleet, route, service, call.tokens, prospect
         )
@@ -176,28 +176,30 @@
     state: CatalogRequest,
     service: ServiceRow,
     rule: VersionRule | None = None,
-) -> Prospect:
+) -> EscalationProspect:
     """Return what asking the largest model next means."""
     rule = _version_rule(core, state) if rule is None else rule
     largest = state.admitted.route.models[-1]
-    wanted = _wanted(core, state, service, rule, largest, eager=False)
-    placed = place(core.fleet, wanted, core.clock.now(), core.rng)
+    request = _placement_request(core, state, service, rule, largest, eager=False)
+    placed = choose_worker(core.fleet, request, core.clock.now(), core.rng)
     found = placed.expected if placed is not None else None
     spent_ms = core.clock.now() - state.began
-    return Prospect(found or Estimate(), spent_ms, possible=placed is not None)
+    return EscalationProspect(
+        found or FirstEventEstimate(), spent_ms, possible=placed is not None
+    )
 
 
-def _effort(
+def _prompt(
     state: CatalogRequest, service: ServiceRow, model: ModelId
-) -> Effort | None:
+) -> Prompt | None:
     call = state.call
     named = model or call.model
     if not named or not call.tokens.read:
         return None
-    return Effort(service, named, call.tokens.read, call.shared_parts)
+    return Prompt(service, named, call.tokens.read, call.shared_parts)
 
 
-def _wanted(
+def _placement_request(
     core: Core,
     state: CatalogRequest,
     service: ServiceRow,
@@ -205,21 +207,21 @@
     model: ModelId,
     *,
     eager: bool,
-) -> Wanted:
+) -> PlacementRequest:
     fleet, route = core.fleet, state.admitted.route
     suspected = is_suspected(fleet, state.fingerprint)
-    return Wanted(
+    return PlacementRequest(
         service=state.service,
         rule=rule,
         domain=fleet.identity.domain,
-        effort=_effort(state, service, model),
+        prompt=_prompt(state, service, model),
         target_latency_ms=route.target_latency_ms,
-        avoid=state.tried,
-        again=route.repeatable,
+        tried=state.tried,
+        allow_tried=route.repeatable,
         silent=silent_workers(fleet, core.clock.now()),
         eager=eager,
         regions=state.admitted.regions,
-        apart=_workers_of_suspects(core, state) if suspected else None,
+        workers_with_suspects=_workers_of_suspects(core, state) if suspected else None,
     )
 
 
@@ -240,23 +242,25 @@
     return unit_hash("grant", state.request) * (1 + max(0, below)) < 1
 
 
-def _passed_over(core: Core, wanted: Wanted) -> tuple[str, ...]:
+def _passed_over(core: Core, request: PlacementRequest) -> tuple[str, ...]:
     """Return for the log which workers' words kept a request from them."""
     now = core.clock.now()
-    return words_of(held_off(core.fleet, wanted, now), now)
+    return words_of(throttled_workers(core.fleet, request, now), now)
 
 
-def _none_takes(core: Core, state: CatalogRequest, wanted: Wanted) -> Refusal:
+def _none_takes(
+    core: Core, state: CatalogRequest, request: PlacementRequest
+) -> Refusal:
     """Return the refusal of a request that no worker takes now."""
     fleet, now = core.fleet, core.clock.now()
-    rows = held_off(fleet, wanted, now)
+    rows = throttled_workers(fleet, request, now)
     if not rows:
-        detail = f"no worker of {wanted.service} takes work now"
+        detail = f"no worker of {request.service} takes work now"
         return _no_worker(core, state, detail)
     core.count("refused_held_off")
-    wait_ms = min(open_in_ms(fleet, row, wanted, now) for row in rows)
+    wait_ms = min(throttle_wait_ms(fleet, row, request, now) for row in rows)
     words = "; ".join(words_of(rows, now))
-    detail = f"no worker of {wanted.service} takes more now: {words}"
+    detail = f"no worker of {request.service} takes more now: {words}"
     return _no_worker(core, state, detail, min(HELD_OFF_MOST_MS, wait_ms))
 
 
--- a/src/spanshunt/platform/front.py
+++ b/src/spanshunt/platform/front.py
@@ -175,7 +175,7 @@
     target = req.raw_path
     host = headers.get("Host", "").lower().partition(":")[0]
     model = headers.get(wire.MODEL, "")
-    tokens = _effort(headers.get(wire.TOKENS, ""))
+    tokens = _parse_tokens(headers.get(wire.TOKENS, ""))
     return Ok(
         Call(
             request=RequestId(request),
@@ -212,7 +212,7 @@
     return kept
 
 
-def _effort(text: str) -> RequestTokens:
+def _parse_tokens(text: str) -> RequestTokens:
     """Decode ``READ,GENERATED``; anything else tells nothing of the size."""
     first, _, second = text.partition(",")
     read, generated = wire.whole_number(first), wire.whole_number(second)
--- a/src/spanshunt/ratings.py
+++ b/src/spanshunt/ratings.py
@@ -11,7 +11,7 @@
 from .logs import log_event
 from .router import Router
 from .systems.learning import GOOD_SCORE
-from .systems.learning import observe
+from .systems.learning import record_counts
 from .tables.evidence import Cell
 from .tables.evidence import Counts
 
@@ -48,7 +48,7 @@
             state = router.state
             origin = state.identity.incarnation
             for cell in cells:
-                observe(state.evidence, origin, router.clock.wall(), cell, seen)
+                record_counts(state.evidence, origin, router.clock.wall(), cell, seen)
         case Err(fault):
             router.metrics.count("rating.failed")
             log_event("DEBUG", "no rating", request=call.request, fault=fault.detail)
--- a/src/spanshunt/relaying.py
+++ b/src/spanshunt/relaying.py
@@ -15,10 +15,10 @@
 from .ports import TruncatedAnswerError
 from .repeating import budget_allows
 from .repeating import may_go_on
-from .systems.cascading import likely_good
-from .systems.cascading import note_confidence
-from .systems.cascading import note_repeat_wanted
-from .systems.cascading import sureness_needed
+from .systems.cascading import probability_good
+from .systems.cascading import record_confidence
+from .systems.cascading import required_probability
+from .systems.cascading import update_repeat_price
 from .systems.timing import ALIVE_FACTOR
 from .systems.timing import gap_limit_ms
 from .systems.timing import is_alive
@@ -34,7 +34,7 @@
     """Tell whether to drop a small model's answer at its head for a larger model's."""
     if found.confidence is None or not attempt.model:
         return False
-    note_confidence(core.fleet, attempt.model, found.confidence)
+    record_confidence(core.fleet, attempt.model, found.confidence)
     model_plan, call = state.model_plan, state.call
     if model_plan is None or state.raised or attempt.model == model_plan.last:
         return False
@@ -46,11 +46,11 @@
     if service is None or state.runs + _kept(state) >= route.max_attempts:
         return False
     prospect = larger_prospect(core, state, service)
-    needed = sureness_needed(core.fleet, route, service, call.tokens, prospect)
+    required = required_probability(core.fleet, route, service, call.tokens, prospect)
     affordable = budget_allows(core, state, for_quality=True)
-    wanted = prospect.possible and likely_good(found.confidence) < needed
+    wanted = prospect.possible and probability_good(found.confidence) < required
     if wanted:
-        note_repeat_wanted(core.fleet, service.name, allowed=affordable)
+        update_repeat_price(core.fleet, service.name, allowed=affordable)
     state.raised = wanted and affordable
     log_event(
         "INFO",
@@ -58,8 +58,8 @@
         request=call.request,
         model=attempt.model,
         sureness=found.confidence,
-        likely_good=round(likely_good(found.confidence), 2),
-        needed=round(needed, 2),
+        likely_good=round(probability_good(found.confidence), 2),
+        needed=round(required, 2),
         budget=affordable,
         raised=state.raised,
         larger_possible=prospect.possible,
--- a/src/spanshunt/reports.py
+++ b/src/spanshunt/reports.py
@@ -14,10 +14,10 @@
 from .ids import ServiceId
 from .router import Router
 from .systems.choice import choose
-from .systems.choice_rows import Asked
+from .systems.choice_rows import VersionRequest
 from .systems.freshness import fresh_age
 from .systems.invariants import checks
-from .systems.learning import estimate
+from .systems.learning import estimate_quality
 from .tables.config import HistoryRow
 from .tables.evidence import Cell
 
@@ -306,13 +306,13 @@
     return Ok(BillsReport(rows, fold.doubled, router.bill_reader.missing_before))
 
 
-def explain_report(router: Router, asked: Asked) -> ExplainReport:
+def explain_report(router: Router, asked: VersionRequest) -> ExplainReport:
     """Return what the router would do with a request now."""
     state = router.state
     estimates = {}
     for row in state.config.versions_of(asked.service):
         name = type(asked.pin)(row.name)
-        found = estimate(
+        found = estimate_quality(
             state.evidence.pool, Cell(name, asked.request_class, asked.org)
         )
         estimates[row.name] = (
--- a/src/spanshunt/systems/cascading.py
+++ b/src/spanshunt/systems/cascading.py
@@ -1,8 +1,9 @@
-"""Choice of a model: the value of a better answer against its price and the load.
+"""Choice of a model by the value of a better answer, its price and the load.
 
-A small model's answer tells at its head how sure the model is. The larger model is
-asked instead while the caller has nothing yet, if what the answer gains outweighs what
-the larger model costs, in money and in places that others wait for.
+The head of a small model's answer reports the model's confidence. While nothing has
+been sent to the caller, the larger model is asked instead if the expected gain in
+quality exceeds the cost of the larger model: its price and the engine time that other
+requests wait for.
 """
 
 import math
@@ -15,91 +16,95 @@
 from ..tables.catalog import ServiceRow
 from ..tables.fleet import Fleet
 from ..tables.fleet import ModelStats
-from .estimating import Estimate
+from .estimating import FirstEventEstimate
 
-WORTH_FACTOR = 6.0
-"""How many times the price of the largest model's run a good answer is taken to be
-worth, at rank 1: a prior, as nothing that a deployment tells says it. An operator who
-lists a model for a route holds its answers to be worth a multiple of it."""
+ANSWER_VALUE_FACTOR = 6.0
+"""Value of a good answer at priority 1, as a multiple of the price of the largest
+model's run. This is a prior, as no deployment reports the value: an operator who lists
+a model for a route considers its answers worth a multiple of their price."""
 
-RANK_FACTORS = (2.0, 1.0, 0.5)
-"""The same at other ranks, in parts of it: each rank halves it; later ones count as the
-last."""
+PRIORITY_FACTORS = (2.0, 1.0, 0.5)
+"""Factors of the answer value by priority. Each level halves the value, and all further
+levels use the last factor."""
 
-SURE_MIDDLE, SURE_WIDTH = 0.45, 0.07
-"""How sure a model is, in 0 to 1, when its answer is as likely good as not, and how far
-from there that changes. A model's own opinion says whether a request was too hard for
-it, roughly; it is no chance."""
+CONFIDENCE_MIDPOINT, CONFIDENCE_SCALE = 0.45, 0.07
+"""Midpoint and scale of the logistic function that maps a model's confidence to the
+probability of a good answer. The reported confidence only roughly tells whether a
+request was too hard for the model; it is not a probability itself."""
 
-READ_PRICE_PART = 0.25
-"""Price of a read token against a generated one."""
+PREFILL_PRICE_RATIO = 0.25
+"""Price of a prompt token relative to that of a generated token."""
 
-LATE_LOSS = 0.7
-"""Part of an answer's worth that is lost when it comes late."""
+LATE_VALUE_LOSS = 0.7
+"""Fraction of an answer's value that is lost when it is late."""
 
-BUSY_AIM_PART = 0.5
-"""Part of a route's aim: where a request and what is before it hold an engine for that
-long, its time there is as dear as what such time usually gains, and only requests that
-gain more for their time are let in. Below, the price falls with the square: who comes
-meanwhile still has the rest of the aim."""
+BUSY_LATENCY_FRACTION = 0.5
+"""Fraction of the route's target latency. If a request and the queue before it occupy
+an engine for that long, engine time costs as much as it usually gains, so only requests
+with a greater gain per time are admitted. Below it the price falls with the square of
+the time, because requests that arrive meanwhile still have the rest of the target
+latency."""
 
-USUAL_LATENESS = 0.05
-"""Mean lateness of answers, in 0 to 1, at which engines' time has its usual price: one
+BASE_LATENESS = 0.05
+"""Mean lateness of answers, in 0 to 1, at which engine time has its usual price: one
 answer in twenty is late."""
 
-SCARCE_MOST = 3.0
-"""Times its usual price that engines' time costs at most."""
+MAX_SCARCITY = 3.0
+"""Maximum price of engine time, as a multiple of its usual price."""
 
 LATENESS_SMOOTHING = 0.1
-"""Weight of one answer in the mean lateness: ten are a few seconds' at a small box."""
+"""Weight of one answer in the mean lateness. At a small box, ten answers take a few
+seconds."""
 
-GAIN_LEAST = 0.3
-"""Part of a good answer's worth that the largest model is taken to gain at least: an
-operator lists it because it is better, and few answers tell little."""
+MIN_QUALITY_GAIN = 0.3
+"""Minimum gain that is assumed for the largest model, as a fraction of a good answer's
+value. An operator lists the model because it is better, and a few answers are little
+evidence against that."""
 
-ENGINE_WORTH_SMOOTHING = 0.05
-"""Weight of one request in what an engine's time usually gains."""
+ENGINE_GAIN_SMOOTHING = 0.05
+"""Weight of one request in the mean gain per ms of engine time."""
 
-EARLY_PART, LATE_PART = 0.35, 1.0
-"""Expected time to the larger model's first event, in parts of the route's aim, from
-which on its answers begin to come late, and at which all do."""
+LATE_FROM_FRACTION, LATE_FRACTION = 0.35, 1.0
+"""Expected times to the larger model's first event, as fractions of the route's target
+latency, at which the first answers are late and at which all are."""
 
 DIRECT_MARGIN = 0.02
-"""Part of an answer's worth that asking the larger model at once is favoured by: it
-comes sooner than a second answer."""
+"""Bonus for asking the larger model directly, as a fraction of an answer's value: its
+answer arrives earlier than a second one would."""
 
-SCARCE_STEP = 0.05
-"""How much dearer a repeat is taken to be after the budget of repeats denied one, in
-the catalog's price unit: a tenth of the worth of a short answer."""
+REPEAT_PRICE_STEP = 0.05
+"""Increase of the repeat price after the retry budget denied a repeat, in the catalog's
+price unit: a tenth of the value of a short answer."""
 
-SCARCE_DENIED = 0.05
-"""Part of the repeats wanted for quality that the budget shall deny: the price of a
-repeat settles where this holds."""
+TARGET_DENIED_SHARE = 0.05
+"""Share of the repeats for quality that the retry budget should deny. The repeat price
+settles where this share is denied."""
 
 PRIOR_ANSWERS = 20
-"""Answers that the prior mean of a model's sureness counts as."""
+"""Number of answers that the prior of a model's mean confidence counts as."""
 
 _SMOOTHING = 0.02
 
 
 class RequestTokens(msgspec.Struct, frozen=True):
-    """How large a request is, in tokens: read, and generated at most."""
+    """Size of a request in tokens: prompt tokens read, and maximum tokens generated."""
 
     read: int
     generated: int
 
 
 class ModelPlan(msgspec.Struct, frozen=True):
-    """The models that may answer one request, and how to move between them.
+    """The models that may answer one request, and when to escalate.
 
     Attributes
     ----------
     first : str
         The model to ask first.
     last : str
-        The model to ask when the first is not sure enough.
+        The model to ask if the confidence of the first is too low.
     needed : float
-        How likely the first's answer must be good to be kept, in 0 to 1.
+        Probability of a good answer, in 0 to 1, from which the first model's answer is
+        kept.
     """
 
     first: ModelId
@@ -107,20 +112,20 @@
     needed: float
 
 
-class Prospect(msgspec.Struct, frozen=True):
-    """What asking the largest model now means.
+class EscalationProspect(msgspec.Struct, frozen=True):
+    """Expected course of asking the largest model now.
 
     Attributes
     ----------
-    expected : Estimate
-        What the request meets at the engine that it would go to.
+    expected : FirstEventEstimate
+        Estimate for the engine that the request would be sent to.
     spent_ms : int
-        How long ago the request came, in ms.
+        Time since the request arrived, in ms.
     possible : bool
-        Whether any engine takes it now.
+        Whether any engine accepts the request now.
     """
 
-    expected: Estimate
+    expected: FirstEventEstimate
     spent_ms: int = 0
     possible: bool = True
 
@@ -130,156 +135,181 @@
     route: RouteRow,
     service: ServiceRow,
     tokens: RequestTokens,
-    prospect: Prospect,
+    prospect: EscalationProspect,
 ) -> ModelPlan:
-    """Plan which models to ask."""
+    """Plan which models to ask for a request."""
     smallest, largest = route.models[0], route.models[-1]
     if smallest == largest:
         return ModelPlan(smallest, largest, 0.0)
-    needed = sureness_needed(fleet, route, service, tokens, prospect)
-    at_once = _gain(fleet, route, service, tokens, prospect, repeat_price=0.0)
-    first = largest if at_once >= _cascade_gain(needed) - DIRECT_MARGIN else smallest
+    needed = required_probability(fleet, route, service, tokens, prospect)
+    direct = _direct_gain(fleet, route, service, tokens, prospect, repeat_price=0.0)
+    first = largest if direct >= _cascade_value(needed) - DIRECT_MARGIN else smallest
     return ModelPlan(first, largest, needed)
 
 
-def sureness_needed(
+def required_probability(
     fleet: Fleet,
     route: RouteRow,
     service: ServiceRow,
     tokens: RequestTokens,
-    prospect: Prospect,
+    prospect: EscalationProspect,
 ) -> float:
-    """Return how likely the small model's answer must be good to be kept."""
-    scarce = fleet.repeat_prices.get(service.name, 0.0)
-    return _gain(fleet, route, service, tokens, prospect, repeat_price=scarce)
+    """Return the probability of a good answer that the small model's answer needs."""
+    price = fleet.repeat_prices.get(service.name, 0.0)
+    return _direct_gain(fleet, route, service, tokens, prospect, repeat_price=price)
 
 
-def note_repeat_wanted(fleet: Fleet, service: ServiceId, *, allowed: bool) -> None:
-    """Take in whether the budget allowed a repeat for quality: where it often does not,
-    only the answers that gain most shall be asked for again.
+def update_repeat_price(fleet: Fleet, service: ServiceId, *, allowed: bool) -> None:
+    """Update the repeat price after the retry budget allowed or denied a repeat.
+
+    If the budget often denies repeats for quality, the price rises until only the
+    answers with the greatest gain are repeated.
     """
-    step = -SCARCE_STEP * SCARCE_DENIED if allowed else SCARCE_STEP
+    step = -REPEAT_PRICE_STEP * TARGET_DENIED_SHARE if allowed else REPEAT_PRICE_STEP
     price = fleet.repeat_prices.get(service, 0.0) + step
     fleet.repeat_prices[service] = max(0.0, price)
 
 
-def _cascade_gain(needed: float) -> float:
-    """Return the worth of asking the small model first, in parts of a good answer's.
+def _cascade_value(needed: float) -> float:
+    """Return the value of asking the small model first, as a fraction of a good
+    answer's.
 
-    Its sureness is taken to be spread evenly, so the large one is asked in as many
-    cases as the sureness that is wanted, and gains `needed` there.
+    The confidence is assumed to be uniformly distributed. The large model is therefore
+    asked in a share of cases that equals the confidence threshold, and its gain there
+    is `needed`.
     """
-    wanted = sureness_wanted(needed)
-    unsure = math.log1p(math.exp(-(wanted - SURE_MIDDLE) / SURE_WIDTH))
-    return wanted * needed + (1.0 - wanted) - SURE_WIDTH * unsure
+    threshold = confidence_for_probability(needed)
+    unsure = math.log1p(math.exp(-(threshold - CONFIDENCE_MIDPOINT) / CONFIDENCE_SCALE))
+    return threshold * needed + (1.0 - threshold) - CONFIDENCE_SCALE * unsure
 
 
-def likely_good(sureness: float) -> float:
-    """Return how likely an answer is good whose model is so sure of it."""
-    return 1.0 / (1.0 + math.exp(-(sureness - SURE_MIDDLE) / SURE_WIDTH))
+def probability_good(confidence: float) -> float:
+    """Return the probability that an answer of the given confidence is good."""
+    return 1.0 / (
+        1.0 + math.exp(-(confidence - CONFIDENCE_MIDPOINT) / CONFIDENCE_SCALE)
+    )
 
 
-def sureness_wanted(needed: float) -> float:
-    """Return the sureness from which on an answer is likely enough good, in 0 to 1."""
-    inside = min(1.0 - 1e-6, max(1e-6, needed))
-    found = SURE_MIDDLE + SURE_WIDTH * math.log(inside / (1.0 - inside))
-    return min(1.0, max(0.0, found))
+def confidence_for_probability(probability: float) -> float:
+    """Return the confidence, in 0 to 1, at which an answer is good with
+    `probability`.
+    """
+    clipped = min(1.0 - 1e-6, max(1e-6, probability))
+    confidence = CONFIDENCE_MIDPOINT + CONFIDENCE_SCALE * math.log(
+        clipped / (1.0 - clipped)
+    )
+    return min(1.0, max(0.0, confidence))
 
 
-def _gain(
+def _direct_gain(
     fleet: Fleet,
     route: RouteRow,
     service: ServiceRow,
     tokens: RequestTokens,
-    prospect: Prospect,
+    prospect: EscalationProspect,
     *,
     repeat_price: float,
 ) -> float:
-    """Return what the larger model's answer is worth, less its price and that of the
-    engine's time, in parts of a good answer's worth.
+    """Return the net gain of the larger model, as a fraction of a good answer's value.
+
+    It is the expected quality less the price of the run and of the engine time.
     """
-    worth = value(route, service, tokens)
-    if worth <= 0.0:
+    value = answer_value(route, service, tokens)
+    if value <= 0.0:
         return 0.0
-    price = cost(service, route.models[-1], tokens) + repeat_price
-    price += engine_price(fleet, route, service, prospect.expected)
-    late = lateness(route, prospect.spent_ms + prospect.expected.first_ms)
-    reached = expected(fleet, route.models[-1]) * (1.0 - LATE_LOSS * late)
-    return max(0.0, reached - price / worth)
+    price = run_price(service, route.models[-1], tokens) + repeat_price
+    price += engine_time_price(fleet, route, service, prospect.expected)
+    late = late_probability(route, prospect.spent_ms + prospect.expected.first_ms)
+    quality = expected_quality(fleet, route.models[-1]) * (1.0 - LATE_VALUE_LOSS * late)
+    return max(0.0, quality - price / value)
 
 
-def lateness(route: RouteRow, first_ms: float) -> float:
-    """Return how likely an answer is late whose first event comes after `first_ms`."""
-    part = first_ms / max(1, route.target_latency_ms)
-    return min(1.0, max(0.0, (part - EARLY_PART) / (LATE_PART - EARLY_PART)))
+def late_probability(route: RouteRow, first_ms: float) -> float:
+    """Return the probability that an answer with this time to its first event is
+    late.
+    """
+    fraction = first_ms / max(1, route.target_latency_ms)
+    return min(
+        1.0,
+        max(
+            0.0, (fraction - LATE_FROM_FRACTION) / (LATE_FRACTION - LATE_FROM_FRACTION)
+        ),
+    )
 
 
-def note_lateness(
+def record_lateness(
     fleet: Fleet, service: ServiceId, route: RouteRow, first_ms: float
 ) -> None:
-    """Take in when the first event of an answer came, counted from its request."""
-    before = fleet.lateness.get(service, USUAL_LATENESS)
-    found = lateness(route, first_ms)
-    fleet.lateness[service] = before + LATENESS_SMOOTHING * (found - before)
+    """Add the time from a request to the first event of its answer to the mean
+    lateness.
+    """
+    before = fleet.lateness.get(service, BASE_LATENESS)
+    current = late_probability(route, first_ms)
+    fleet.lateness[service] = before + LATENESS_SMOOTHING * (current - before)
 
 
-def engine_price(
-    fleet: Fleet, route: RouteRow, service: ServiceRow, found: Estimate
+def engine_time_price(
+    fleet: Fleet, route: RouteRow, service: ServiceRow, estimate: FirstEventEstimate
 ) -> float:
-    """Return the price of the engine's time that a request takes from others.
+    """Return the price of the engine time that a request takes from others.
 
-    It is what such time usually gains, more the longer those who come have to wait and
-    the more answers came late just now: where all come early, time is to spare.
+    The base is the usual gain of such time. It rises with the waiting time of requests
+    that arrive and with the share of recent answers that were late. If all answers are
+    early, engine time is plentiful.
     """
-    usual = fleet.gain_per_engine_ms.get(service.name, 0.0)
-    held_ms = found.wait_ms + 0.5 * found.read_ms
-    busy = held_ms / max(1.0, BUSY_AIM_PART * route.target_latency_ms)
-    late = fleet.lateness.get(service.name, USUAL_LATENESS)
-    scarce = min(SCARCE_MOST, late / USUAL_LATENESS)
-    return usual * scarce * busy * busy * found.read_ms
+    usual_price = fleet.gain_per_engine_ms.get(service.name, 0.0)
+    occupied_ms = estimate.wait_ms + 0.5 * estimate.read_ms
+    busy = occupied_ms / max(1.0, BUSY_LATENCY_FRACTION * route.target_latency_ms)
+    late = fleet.lateness.get(service.name, BASE_LATENESS)
+    scarcity = min(MAX_SCARCITY, late / BASE_LATENESS)
+    return usual_price * scarcity * busy * busy * estimate.read_ms
 
 
-def note_engine_worth(
+def record_engine_gain(
     fleet: Fleet,
     route: RouteRow,
     service: ServiceRow,
     tokens: RequestTokens,
-    found: Estimate,
+    estimate: FirstEventEstimate,
 ) -> None:
-    """Take in what a request would gain of the largest model for its engine's time."""
-    if found.read_ms <= 0.0:
+    """Add a request's possible gain from the largest model per ms to the usual gain."""
+    if estimate.read_ms <= 0.0:
         return
-    better = expected(fleet, route.models[-1]) - expected(fleet, route.models[0])
-    gain = max(GAIN_LEAST, better) * value(route, service, tokens)
-    worth = gain / found.read_ms
-    before = fleet.gain_per_engine_ms.get(service.name, worth)
-    moved = before + ENGINE_WORTH_SMOOTHING * (worth - before)
+    quality_gain = expected_quality(fleet, route.models[-1]) - expected_quality(
+        fleet, route.models[0]
+    )
+    gain = max(MIN_QUALITY_GAIN, quality_gain) * answer_value(route, service, tokens)
+    value = gain / estimate.read_ms
+    before = fleet.gain_per_engine_ms.get(service.name, value)
+    moved = before + ENGINE_GAIN_SMOOTHING * (value - before)
     fleet.gain_per_engine_ms[service.name] = moved
 
 
-def value(route: RouteRow, service: ServiceRow, tokens: RequestTokens) -> float:
-    """Return the worth of a good answer in time, in the catalog's price unit."""
-    factor = RANK_FACTORS[min(route.priority, len(RANK_FACTORS) - 1)]
-    return WORTH_FACTOR * factor * cost(service, route.models[-1], tokens)
+def answer_value(route: RouteRow, service: ServiceRow, tokens: RequestTokens) -> float:
+    """Return the value of a good and timely answer, in the catalog's price unit."""
+    factor = PRIORITY_FACTORS[min(route.priority, len(PRIORITY_FACTORS) - 1)]
+    return ANSWER_VALUE_FACTOR * factor * run_price(service, route.models[-1], tokens)
 
 
-def cost(service: ServiceRow, model: ModelId, tokens: RequestTokens) -> float:
-    """Return the price of one run of `model`."""
-    paid = tokens.generated + READ_PRICE_PART * tokens.read
-    return service.costs.get(model, 0.0) * paid / 1_000
+def run_price(service: ServiceRow, model: ModelId, tokens: RequestTokens) -> float:
+    """Return the price of one run of `model`, in the catalog's price unit."""
+    billed_tokens = tokens.generated + PREFILL_PRICE_RATIO * tokens.read
+    return service.costs.get(model, 0.0) * billed_tokens / 1_000
 
 
-def expected(fleet: Fleet, model: ModelId) -> float:
-    """Return how likely a model's answer is good, by the mean of its own opinions."""
+def expected_quality(fleet: Fleet, model: ModelId) -> float:
+    """Return the probability that a model's answer is good, from its mean
+    confidence.
+    """
     stats = fleet.models.get(model)
     return stats.confidence if stats is not None else 0.9
 
 
-def note_confidence(fleet: Fleet, model: ModelId, confidence: float) -> None:
-    """Take one answer's sureness, in 0 to 1, into the model's mean."""
+def record_confidence(fleet: Fleet, model: ModelId, confidence: float) -> None:
+    """Add the confidence of one answer, in 0 to 1, to the model's mean."""
     stats = fleet.models.get(model)
     if stats is None:
         stats = fleet.models[model] = ModelStats(confidence=0.9)
     stats.answers += 1
     step = max(_SMOOTHING, 1.0 / (PRIOR_ANSWERS + stats.answers))
-    stats.confidence += step * (likely_good(confidence) - stats.confidence)
+    stats.confidence += step * (probability_good(confidence) - stats.confidence)
--- a/src/spanshunt/systems/choice.py
+++ b/src/spanshunt/systems/choice.py
@@ -1,4 +1,4 @@
-"""Choice: which version answers a request, by what is allowed and what was learned."""
+"""Choice of the version that answers a request, from permissions and evidence."""
 
 import typing as t
 
@@ -15,30 +15,31 @@
 from ..tables.config import VersionState
 from ..tables.evidence import Pool
 from ..utils import unit_hash
-from .choice_rows import Asked
 from .choice_rows import Choice
 from .choice_rows import Exclusion
 from .choice_rows import NoVersion
 from .choice_rows import Rule
+from .choice_rows import VersionRequest
 from .preferring import Preference
 from .preferring import PreferenceKey
 from .preferring import Preferences
-from .preferring import prefer
-from .preferring import target_of
-from .preferring import worth_of
+from .preferring import assess_version
+from .preferring import compute_preference
+from .preferring import target_quality
 
-RATE_ALWAYS = 1.0
-RATE_UNSURE = 0.5
-RATE_SETTLED = 0.03
-"""Shares of answers sent to be rated: of a version on trial, of one whose interval
-spans the target, and of one that is settled, to see it turn bad."""
+RATING_RATE_TRIAL = 1.0
+RATING_RATE_UNCERTAIN = 0.5
+RATING_RATE_STABLE = 0.03
+"""Shares of answers sent for rating: of a version on trial, of a version whose
+confidence interval contains the target, and of a settled version, to notice when it
+degrades."""
 
-NEW_MODEL_MOST = 0.25
-"""The largest share that an entering version takes of others' work."""
+MAX_NEW_MODEL_SHARE = 0.25
+"""Maximum share of other versions' requests that an entering version takes."""
 
 
-class Drawn(t.NamedTuple):
-    """An entering version in whose share a request falls, and the draw."""
+class RolloutDraw(t.NamedTuple):
+    """An entering version whose roll-out share includes a request, and the draw."""
 
     row: VersionRow
     draw: float
@@ -47,9 +48,9 @@
 def choose(
     config: Config,
     pool: Pool,
-    asked: Asked,
-    holds: t.Callable[[VersionId], bool],
-    memory: Preferences,
+    request: VersionRequest,
+    is_loaded: t.Callable[[VersionId], bool],
+    cache: Preferences,
     now: Millis,
 ) -> Result[Choice, NoVersion]:
     """Choose a version for a request.
@@ -59,59 +60,66 @@
     config : Config
         The configuration in force.
     pool : Pool
-        The evidence.
-    asked : Asked
+        The pooled evidence.
+    request : VersionRequest
         The request.
-    holds : callable
-        Tells whether any live worker holds a version.
-    memory : Memory
-        Preferences worked out before; what is allowed and in service is always looked
-        up anew, only the learned part is remembered.
+    is_loaded : callable
+        Returns whether any live worker has a version loaded.
+    cache : Preferences
+        Cached preferences. Permissions and version states are checked for each request;
+        only the result of learning is cached.
     now : int
-        In ms of the monotonic clock.
+        Time of the monotonic clock, in ms.
     """
-    org = config.orgs[asked.org]
-    service = config.services[asked.service]
-    usable, excluded = _usable(config, org, asked, holds)
-    if asked.pin and _may_stay(config, org, asked.pin):
-        if asked.pin in {row.name for row in usable}:
-            return Ok(Choice(asked.pin, Rule.SESSION, _session_rate(config, asked.pin)))
+    org = config.orgs[request.org]
+    service = config.services[request.service]
+    usable, excluded = _usable(config, org, request, is_loaded)
+    if request.pin and _may_keep_version(config, org, request.pin):
+        if request.pin in {row.name for row in usable}:
+            return Ok(
+                Choice(
+                    request.pin, Rule.SESSION, _session_rating_rate(config, request.pin)
+                )
+            )
         return Err(NoVersion(tuple(excluded)))
     if not usable:
         return Err(NoVersion(tuple(excluded)))
     entering = [row for row in usable if row.state is VersionState.ENTERING]
-    settled = _newest(usable)
-    drawn = _drawn_rollout(config, entering, asked)
-    if not settled:
-        if drawn is None:
+    active = _newest_active(usable)
+    rollout_draw = _find_rollout(config, entering, request)
+    if not active:
+        if rollout_draw is None:
             return Err(NoVersion(tuple(excluded)))
-        return Ok(_entering_choice(drawn.row, excluded))
-    target = target_of(org, service, asked.request_class)
+        return Ok(_rollout_choice(rollout_draw.row, excluded))
+    target = target_quality(org, service, request.request_class)
     key = PreferenceKey(
-        asked.service,
-        asked.request_class,
-        asked.org,
-        asked.named,
+        request.service,
+        request.request_class,
+        request.org,
+        request.named,
         config.next_offset,
-        tuple(row.name for row in settled),
+        tuple(row.name for row in active),
     )
-    preference = memory.get(
-        key, now, lambda: prefer(pool, settled, asked, target, service)
+    preference = cache.get(
+        key, now, lambda: compute_preference(pool, active, request, target, service)
     )
-    if drawn is not None and _takes(pool, drawn, preference, settled, asked, target):
-        return Ok(_entering_choice(drawn.row, excluded))
-    return Ok(_apply(preference, asked, excluded))
+    if rollout_draw is not None and _takes_request(
+        pool, rollout_draw, preference, active, request, target
+    ):
+        return Ok(_rollout_choice(rollout_draw.row, excluded))
+    return Ok(_choice_by_preference(preference, request, excluded))
 
 
-def _session_rate(config: Config, pin: VersionId) -> float:
+def _session_rating_rate(config: Config, pin: VersionId) -> float:
     entering = config.versions[pin].state is VersionState.ENTERING
-    return RATE_ALWAYS if entering else RATE_SETTLED
+    return RATING_RATE_TRIAL if entering else RATING_RATE_STABLE
 
 
-def _may_stay(config: Config, org: OrgRow, pin: VersionId) -> bool:
-    """Tell whether a session may stay on its version.
+def _may_keep_version(config: Config, org: OrgRow, pin: VersionId) -> bool:
+    """Return whether a session may stay on its version.
 
-    One whose workers are all away waits for them: it is refused and does not move.
+    If all workers of the version are gone, the session is refused and waits for them
+    instead of moving to another version.
     """
     row = config.versions.get(pin)
     if row is None or not org.allows_version(row):
@@ -122,13 +130,13 @@
 def _usable(
     config: Config,
     org: OrgRow,
-    asked: Asked,
-    holds: t.Callable[[VersionId], bool],
+    request: VersionRequest,
+    is_loaded: t.Callable[[VersionId], bool],
 ) -> tuple[list[VersionRow], list[Exclusion]]:
     usable = []
     excluded = []
-    for row in config.versions_of(asked.service):
-        reason = _exclusion(org, asked, row, holds)
+    for row in config.versions_of(request.service):
+        reason = _exclusion_reason(org, request, row, is_loaded)
         if reason:
             excluded.append(Exclusion(VersionId(row.name), reason))
         else:
@@ -136,104 +144,116 @@
     return usable, excluded
 
 
-def _exclusion(
+def _exclusion_reason(
     org: OrgRow,
-    asked: Asked,
+    request: VersionRequest,
     row: VersionRow,
-    holds: t.Callable[[VersionId], bool],
+    is_loaded: t.Callable[[VersionId], bool],
 ) -> str:
     if not org.allows_version(row):
         return "not allowed to the organisation"
     if row.state in (VersionState.WITHDRAWN, VersionState.DECLARED):
         return f"its state is {row.state.value}"
-    if asked.named and asked.named not in (row.name, row.model):
-        return f"the caller named {asked.named}"
-    if not holds(VersionId(row.name)):
+    if request.named and request.named not in (row.name, row.model):
+        return f"the caller named {request.named}"
+    if not is_loaded(VersionId(row.name)):
         return "no live worker holds it"
     return ""
 
 
-def _newest(usable: list[VersionRow]) -> list[VersionRow]:
+def _newest_active(usable: list[VersionRow]) -> list[VersionRow]:
     """Return the newest active version of each model."""
     newest: dict[str, VersionRow] = {}
     for row in usable:
         if row.state is not VersionState.ACTIVE:
             continue
-        held = newest.get(row.model)
-        if held is None or (held.since, held.name) < (row.since, row.name):
+        best = newest.get(row.model)
+        if best is None or (best.since, best.name) < (row.since, row.name):
             newest[row.model] = row
     return list(newest.values())
 
 
-def _drawn_rollout(
-    config: Config, entering: list[VersionRow], asked: Asked
-) -> Drawn | None:
-    """Return the entering version in whose share the request falls.
+def _find_rollout(
+    config: Config, entering: list[VersionRow], request: VersionRequest
+) -> RolloutDraw | None:
+    """Return the entering version whose roll-out share includes the request.
 
-    A draw goes by the session, so that a session is in the share or not for as long as
-    the share stays, and once in it stays in while the share grows.
+    The draw is a hash of the session. A session therefore stays inside or outside the
+    share while the share is constant, and stays inside when the share grows.
     """
     for row in entering:
         rollout = config.rollout_of(VersionId(row.name))
         if rollout is None or rollout.state is not RolloutState.RUNNING:
             continue
-        draw = unit_hash(rollout.name, asked.draw_key)
-        if asked.named == row.name:
-            return Drawn(row, 0.0)
+        draw = unit_hash(rollout.name, request.draw_key)
+        if request.named == row.name:
+            return RolloutDraw(row, 0.0)
         if draw < rollout.share:
-            return Drawn(row, draw)
+            return RolloutDraw(row, draw)
     return None
 
 
-def _takes(
+def _takes_request(
     pool: Pool,
-    drawn: Drawn,
+    rollout_draw: RolloutDraw,
     preference: Preference,
-    settled: list[VersionRow],
-    asked: Asked,
+    active: list[VersionRow],
+    request: VersionRequest,
     target: float,
 ) -> bool:
-    """Tell whether an entering version takes a request that fell in its share.
+    """Return whether an entering version takes a request drawn into its share.
 
-    It takes the work of its model's version before it. Of other work it takes at most
-    :data:`NEW_MODEL_MOST`, and only where it may be good enough and, if its model is
-    known, is cheaper: else it would not get any evidence where the version before it is
-    not in use. What its own ratings say is for the guard rails to judge, not for this:
-    a version that is starved of requests is never shown to be bad.
+    It takes the requests of the preceding version of its model. Of other requests it
+    takes at most :data:`MAX_NEW_MODEL_SHARE`, and only if it may meet the target and,
+    for a known model, is cheaper; otherwise it would get no evidence where the
+    preceding version is not in use. Its own ratings are judged by the guard rails and
+    ignored here: a version that gets no requests is never found to be bad.
     """
     main = preference.main
-    before = next((row for row in settled if row.model == drawn.row.model), None)
-    if before is not None and before.name == main.row.name:
+    previous = next(
+        (row for row in active if row.model == rollout_draw.row.model), None
+    )
+    if previous is not None and previous.name == main.row.name:
         return True
-    if drawn.draw >= NEW_MODEL_MOST:
+    if rollout_draw.draw >= MAX_NEW_MODEL_SHARE:
         return False
-    if before is None:
-        return worth_of(pool, drawn.row, asked).estimate.may_meet(target)
-    likely = worth_of(pool, before, asked)
-    return likely.estimate.may_meet(target) and likely.cost < main.cost
+    if previous is None:
+        return assess_version(pool, rollout_draw.row, request).estimate.may_meet(target)
+    expected = assess_version(pool, previous, request)
+    return expected.estimate.may_meet(target) and expected.cost < main.cost
 
 
-def _entering_choice(row: VersionRow, excluded: list[Exclusion]) -> Choice:
+def _rollout_choice(row: VersionRow, excluded: list[Exclusion]) -> Choice:
     return Choice(
-        VersionId(row.name), Rule.ROLLOUT, RATE_ALWAYS, excluded=tuple(excluded)
+        VersionId(row.name), Rule.ROLLOUT, RATING_RATE_TRIAL, excluded=tuple(excluded)
     )
 
 
-def _apply(preference: Preference, asked: Asked, excluded: list[Exclusion]) -> Choice:
+def _choice_by_preference(
+    preference: Preference, request: VersionRequest, excluded: list[Exclusion]
+) -> Choice:
     main = preference.main
     name = VersionId(main.row.name)
-    kept = tuple(excluded)
+    exclusions = tuple(excluded)
     if preference.first is not None:
         first = VersionId(preference.first.row.name)
-        return Choice(first, Rule.CASCADE, RATE_UNSURE, fallback=name, excluded=kept)
+        return Choice(
+            first,
+            Rule.CASCADE,
+            RATING_RATE_UNCERTAIN,
+            fallback=name,
+            excluded=exclusions,
+        )
     trial = preference.trial
     if trial is not None:
-        draw = unit_hash("trial", asked.draw_key)
+        draw = unit_hash("trial", request.draw_key)
         if draw < preference.trial_share:
             on_trial = VersionId(trial.row.name)
-            return Choice(on_trial, Rule.EXPLORE, RATE_ALWAYS, excluded=kept)
-    if asked.named:
-        return Choice(name, Rule.ASKED, RATE_SETTLED, excluded=kept)
-    rule = Rule.CHEAPEST if preference.meets else Rule.BEST
-    rate = RATE_SETTLED if preference.meets else RATE_UNSURE
-    return Choice(name, rule, rate, excluded=kept)
+            return Choice(
+                on_trial, Rule.EXPLORE, RATING_RATE_TRIAL, excluded=exclusions
+            )
+    if request.named:
+        return Choice(name, Rule.ASKED, RATING_RATE_STABLE, excluded=exclusions)
+    rule = Rule.CHEAPEST if preference.meets_target else Rule.BEST
+    rate = RATING_RATE_STABLE if preference.meets_target else RATING_RATE_UNCERTAIN
+    return Choice(name, rule, rate, excluded=exclusions)
--- a/src/spanshunt/systems/choice_rows.py
+++ b/src/spanshunt/systems/choice_rows.py
@@ -1,4 +1,4 @@
-"""What is asked of a choice, and what it answers."""
+"""Input and result of the choice of a version."""
 
 import enum
 
@@ -11,7 +11,7 @@
 
 
 class Rule(enum.Enum):
-    """Why a version was chosen."""
+    """Reason why a version was chosen."""
 
     ASKED = "asked for by name"
     SESSION = "the session is on it"
@@ -23,27 +23,28 @@
 
 
 class Exclusion(msgspec.Struct, frozen=True):
-    """A version that was not chosen, and why."""
+    """A version that was not chosen, and the reason."""
 
     version: VersionId
     reason: str
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """A version for a request.
+    """The version chosen for a request.
 
     Attributes
     ----------
     version : str
         The version.
     rule : Rule
-        Why.
+        Reason for the choice.
     rate : float
-        The chance with which its answer is sent to be rated.
+        Probability with which the answer is sent for rating.
     fallback : str
-        The version to ask when a cascade's answer is not good enough; empty for none.
+        The version to ask if the answer of a cascade is not good enough; empty for
+        none.
     excluded : tuple of Exclusion
-        Why not the others.
+        The versions that were excluded, with reasons.
     """
 
     version: VersionId
@@ -54,24 +55,24 @@
 
 
 class NoVersion(msgspec.Struct, frozen=True):
-    """No version may answer the request."""
+    """Result when no version may answer the request."""
 
     excluded: tuple[Exclusion, ...]
 
 
-class Asked(msgspec.Struct, frozen=True):
-    """What a request asks for.
+class VersionRequest(msgspec.Struct, frozen=True):
+    """Properties of a request that the choice of a version depends on.
 
     Attributes
     ----------
     service, request_class, org : str
-        Where it belongs.
+        Service, class and organisation of the request.
     named : str
-        A model or version that the caller named; empty for any.
+        Model or version that the caller named; empty for any.
     pin : str
-        The version that its session is on; empty for none.
+        Version that the session is pinned to; empty for none.
     draw_key : str
-        The session, else the request: what draws for roll-outs and trials go by.
+        Key of the draws for roll-outs and trials: the session, or else the request.
     """
 
     service: ServiceId
--- a/src/spanshunt/systems/estimating.py
+++ b/src/spanshunt/systems/estimating.py
@@ -1,9 +1,9 @@
-"""How long an engine takes until its first event: one estimate for every decision.
+"""Estimate of the time until an engine's first event, used for all routing decisions.
 
-``first = wait + read``: what is before a request at the engine, and what of its prompt
-the engine does not keep, times the time to read a token, learned for each service and
-model. Choice of worker and model, asking again and the order at the engine read off it;
-refusals and the time to come back do not yet.
+The time is ``wait + prefill``: the prefill time of requests queued at the engine, plus
+the uncached tokens of the prompt times the prefill time per token, which is learned for
+each service and model. The choice of worker and model, repeats and the priority at the
+engine use this estimate; refusals and their retry times do not yet.
 """
 
 import math
@@ -20,57 +20,57 @@
 from ..tables.engines import RecentPrefill
 from ..tables.fleet import Fleet
 from ..tables.workers import WorkerRow
-from .keeping import kept_tokens
-from .keeping import note_read
+from .keeping import cached_tokens
 from .keeping import part_key
+from .keeping import record_prefill
 
-OTHERS_HALF_LIFE_MS = 1_500
-"""How fast what other boxes have waiting at an engine, beyond what they tell, is
-forgotten while nothing is heard of it, in ms: a queue of prompts is read in about a
-second."""
+UNREPORTED_HALF_LIFE_MS = 1_500
+"""Half-life of the estimated waiting time from other boxes that they did not report, in
+ms, while no answer updates it: a queue of prompts is processed in about a second."""
 
-OTHERS_SMOOTHING = 0.5
-"""Weight of one answer in what other boxes have waiting at its engine."""
+UNREPORTED_SMOOTHING = 0.5
+"""Weight of one answer in the estimate of unreported waiting time at its engine."""
 
 SPEED_QUANTILE = 0.5
-"""Which quantile of the times to a first event counts as the speed: such a time holds
-what else was waiting, unseen, more often than the engine kept more than was known."""
+"""Quantile of the times to the first event that is taken as the speed. Such a time more
+often includes unknown waiting requests than unknown cached parts."""
 
-SPEED_STEP_MOST, SPEED_STEP_LEAST = 0.6, 0.06
-"""Steps by which a learned speed moves, as parts of it: the first ones and later ones.
-At 0.06 a speed that changes twofold is followed within some twenty answers."""
+MAX_SPEED_STEP, MIN_SPEED_STEP = 0.6, 0.06
+"""Relative steps by which a learned speed changes, at first and later. At 0.06 the
+estimate follows a twofold change of speed within about twenty answers."""
 
-FIRST_BASE_PART = 0.3
-"""Part of the first time seen that is taken for what does not grow with the prompt."""
+INITIAL_BASE_FRACTION = 0.3
+"""Fraction of the first observed time that is assumed to be independent of the
+prompt."""
 
-QUIET_PART = 0.3
-"""An answer tells of the speed only if less than this part of its expected time was for
-what waited before it."""
+MAX_WAIT_FRACTION = 0.3
+"""An answer updates the speed only if waiting was at most this fraction of its expected
+time."""
 
-POOL_WEIGHT = 0.2
-"""Weight of a peer's word of a speed against one's own, at each exchange."""
+PEER_SPEED_WEIGHT = 0.2
+"""Weight of a peer's speed against the own estimate at each exchange."""
 
-UNSEEN_KEPT = 0.3
-"""Chance that the engine which all boxes agree on for a prompt keeps it although this
-box does not know of it, until answers tell."""
+DEFAULT_UNSEEN_CACHE_RATE = 0.3
+"""Initial probability that the cache owner of a prompt has it cached although this box
+does not know of it."""
 
-UNSEEN_SMOOTHING = 0.1
-"""Weight of one such answer."""
+UNSEEN_CACHE_SMOOTHING = 0.1
+"""Weight of one answer in that probability."""
 
-URGENCY_LEAST = 9
-"""The least urgent step that engines know; it is for what takes the whole aim to
-read."""
+LOWEST_URGENCY = 9
+"""Least urgent level that engines know, for prompts whose prefill takes the whole
+target latency."""
 
-TOLD_READ_MS = 100.0
-"""A prompt whose shared parts take less than this to read, in ms, is not told to peers:
-its bytes would cost more than they save."""
+MIN_REPORTED_PREFILL_MS = 100.0
+"""Prompts whose shared parts take less prefill time than this, in ms, are not reported
+to peers: the report would cost more than it saves."""
 
-TOLD_FOR_MS = 2_000
-"""How long a prompt read is told to peers, in ms: five rounds of exchanges."""
+REPORT_PREFILL_FOR_MS = 2_000
+"""How long a prefill is reported to peers, in ms: five rounds of exchanges."""
 
 
-class Effort(msgspec.Struct, frozen=True):
-    """What a request asks of an engine.
+class Prompt(msgspec.Struct, frozen=True):
+    """A prompt to be processed by an engine.
 
     Attributes
     ----------
@@ -79,116 +79,121 @@
     model : str
         The model.
     read : int
-        Tokens of the prompt.
-    shared : tuple of PromptPart
-        Its shared parts, in order.
+        Number of tokens of the whole prompt.
+    shared_parts : tuple of PromptPart
+        Parts that other requests share, in order.
     """
 
     service: ServiceRow
     model: ModelId
     read: int
-    shared: tuple[PromptPart, ...] = ()
+    shared_parts: tuple[PromptPart, ...] = ()
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of all shared parts."""
-        return sum(part.tokens for part in self.shared)
+        """Number of tokens of all shared parts."""
+        return sum(part.tokens for part in self.shared_parts)
 
 
-class Estimate(msgspec.Struct, frozen=True):
-    """What a request probably meets at an engine.
+class FirstEventEstimate(msgspec.Struct, frozen=True):
+    """Estimated waiting and prefill times of a request at an engine.
 
     Attributes
     ----------
-    own_ms, others_ms : float
-        What is before it there: of this box and of others, in ms.
+    own_wait_ms, others_wait_ms : float
+        Prefill time of waiting requests, of this box and of other boxes, in ms.
     read_ms : float
-        The time to read what is not kept, in ms.
+        Prefill time of the tokens that are not cached, plus the base time, in ms.
     unread : float
-        The tokens that are not kept.
-    beyond_ms : float
-        The part of `others_ms` that no other box told of.
+        Expected number of tokens that are not cached.
+    unreported_ms : float
+        The part of `others_wait_ms` that no box reported, in ms.
     unseen : bool
-        Whether what is kept there rests on what boxes agree on alone.
+        Whether the expected cache contents rest only on the engine being the cache
+        owner.
     """
 
-    own_ms: float = 0.0
-    others_ms: float = 0.0
+    own_wait_ms: float = 0.0
+    others_wait_ms: float = 0.0
     read_ms: float = 0.0
     unread: float = 0.0
-    beyond_ms: float = 0.0
+    unreported_ms: float = 0.0
     unseen: bool = False
 
     @property
     def wait_ms(self) -> float:
-        """All that is before the request, in ms."""
-        return self.own_ms + self.others_ms
+        """Prefill time of all requests before this one, in ms."""
+        return self.own_wait_ms + self.others_wait_ms
 
     @property
     def first_ms(self) -> float:
-        """The time to its first event, in ms."""
+        """Expected time to the first event, in ms."""
         return self.wait_ms + self.read_ms
 
 
-Estimator = t.Callable[[WorkerRow, bool], Estimate]
-"""Returns what a request meets at a worker, and whether boxes agree on it for it."""
+Estimator = t.Callable[[WorkerRow, bool], FirstEventEstimate]
+"""Returns the estimate for a worker; the flag tells whether it is the cache owner."""
 
 
-def estimator(fleet: Fleet, effort: Effort, now: Millis) -> Estimator:
-    """Return what estimates one request at each of many workers."""
-    speed = speed_of(fleet, effort.service, effort.model)
+def make_estimator(fleet: Fleet, prompt: Prompt, now: Millis) -> Estimator:
+    """Return a function that estimates one request at any of many workers."""
+    speed = prefill_speed(fleet, prompt.service, prompt.model)
     read_ms, base_ms = speed.read_ms, speed.base_ms
-    keys = [(part_key(effort.model, part.name), part.tokens) for part in effort.shared]
-    unseen_tokens = unseen_kept(fleet, effort) * effort.shared_tokens
+    keys = [
+        (part_key(prompt.model, part.name), part.tokens) for part in prompt.shared_parts
+    ]
+    unseen_tokens = unseen_cache_rate(fleet, prompt) * prompt.shared_tokens
 
-    def estimate(row: WorkerRow, owner: bool) -> Estimate:
-        kept = 0.0
+    def estimate(row: WorkerRow, owner: bool) -> FirstEventEstimate:
+        cached = 0.0
         parts = row.kept.parts
         for key, tokens in keys:
             if key not in parts:
                 break
-            kept += tokens
-        unseen = owner and not kept
-        unread = max(0.0, effort.read - (unseen_tokens if unseen else kept))
-        beyond_ms = _beyond_ms(row, now) if row.unreported_prefill_ms else 0.0
-        told_ms = _told_ms(row, now) if row.peer_prefill_ms else 0.0
-        return Estimate(
-            own_ms=row.prefill_ms,
-            others_ms=told_ms + beyond_ms,
-            read_ms=base_ms + unread * read_ms,
-            unread=unread,
-            beyond_ms=beyond_ms,
+            cached += tokens
+        unseen = owner and not cached
+        uncached = max(0.0, prompt.read - (unseen_tokens if unseen else cached))
+        unreported_ms = (
+            _unreported_wait_ms(row, now) if row.unreported_prefill_ms else 0.0
+        )
+        reported_ms = _reported_wait_ms(row, now) if row.peer_prefill_ms else 0.0
+        return FirstEventEstimate(
+            own_wait_ms=row.prefill_ms,
+            others_wait_ms=reported_ms + unreported_ms,
+            read_ms=base_ms + uncached * read_ms,
+            unread=uncached,
+            unreported_ms=unreported_ms,
             unseen=unseen,
         )
 
     return estimate
 
 
-def estimate_first(
-    fleet: Fleet, row: WorkerRow, effort: Effort, now: Millis, *, owner: bool
-) -> Estimate:
-    """Return what a request meets at a worker; `owner` if boxes agree on it for it."""
-    return estimator(fleet, effort, now)(row, owner)
+def estimate_first_event(
+    fleet: Fleet, row: WorkerRow, prompt: Prompt, now: Millis, *, owner: bool
+) -> FirstEventEstimate:
+    """Return the estimate for a worker; `owner` tells whether it is the cache owner."""
+    return make_estimator(fleet, prompt, now)(row, owner)
 
 
-def urgency_of(found: Estimate, target_latency_ms: int) -> int:
-    """Return how urgent a request is at an engine, from 0 (first) to `URGENCY_LEAST`.
+def urgency_of(estimate: FirstEventEstimate, target_latency_ms: int) -> int:
+    """Return the urgency of a request at an engine, from 0 (first) to `LOWEST_URGENCY`.
 
-    What is read sooner goes first, as it holds the others up less: each doubling of the
-    part of the aim that it takes to read is a step.
+    Requests with a shorter prefill go first, because they delay the others less. Each
+    doubling of the fraction of the target latency that prefill takes is one level.
     """
-    part = max(found.read_ms, 1.0) / max(1, target_latency_ms)
-    steps = math.ceil(math.log2(part))
-    return min(URGENCY_LEAST, max(0, URGENCY_LEAST + steps))
+    fraction = max(estimate.read_ms, 1.0) / max(1, target_latency_ms)
+    steps = math.ceil(math.log2(fraction))
+    return min(LOWEST_URGENCY, max(0, LOWEST_URGENCY + steps))
 
 
-def others_ms(row: WorkerRow, now: Millis) -> float:
-    """Return what other boxes probably have waiting at a worker, in ms."""
-    return _told_ms(row, now) + _beyond_ms(row, now)
+def others_wait_ms(row: WorkerRow, now: Millis) -> float:
+    """Return the estimated prefill time of other boxes' waiting requests, in ms."""
+    return _reported_wait_ms(row, now) + _unreported_wait_ms(row, now)
 
 
-def _told_ms(row: WorkerRow, now: Millis) -> float:
-    """Return what other boxes told that they have waiting at a worker, in ms."""
+def _reported_wait_ms(row: WorkerRow, now: Millis) -> float:
+    """Return the prefill time of waiting requests that other boxes reported, in ms."""
     total = 0.0
     for waits_ms, at in row.peer_prefill_ms.values():
         left_ms = waits_ms - (now - at)
@@ -197,25 +202,25 @@
     return total
 
 
-def _beyond_ms(row: WorkerRow, now: Millis) -> float:
-    """Return what others have waiting beyond what they told, in ms."""
+def _unreported_wait_ms(row: WorkerRow, now: Millis) -> float:
+    """Return the estimated prefill time that other boxes did not report, in ms."""
     age = max(0, now - row.unreported_prefill_at)
-    kept: float = 0.5 ** (age / OTHERS_HALF_LIFE_MS)
-    return row.unreported_prefill_ms * kept
+    remaining: float = 0.5 ** (age / UNREPORTED_HALF_LIFE_MS)
+    return row.unreported_prefill_ms * remaining
 
 
-def forget_told(fleet: Fleet, now: Millis) -> None:
-    """Forget what boxes told of waits that is over: a box may be gone for good."""
+def expire_peer_prefill(fleet: Fleet, now: Millis) -> None:
+    """Remove elapsed reports of waiting requests, as their box may be gone for good."""
     for row in fleet.workers.rows.values():
         for box, (waits_ms, at) in list(row.peer_prefill_ms.items()):
             if now - at >= waits_ms:
                 del row.peer_prefill_ms[box]
 
 
-def speed_of(fleet: Fleet, service: ServiceRow, model: ModelId) -> PrefillSpeed:
-    """Return how fast engines run a model; no time at all while nothing is known.
+def prefill_speed(fleet: Fleet, service: ServiceRow, model: ModelId) -> PrefillSpeed:
+    """Return the prefill speed of engines with a model; zero times if nothing is known.
 
-    A model that was not met yet is taken to be slower than another as it is dearer.
+    The times of a model that is not known yet are scaled from another model by price.
     """
     speed = fleet.prefill_speeds.get((service.name, model))
     if speed is not None:
@@ -229,112 +234,116 @@
     return PrefillSpeed(0.0, 0.0, 0)
 
 
-def shared_read_ms(fleet: Fleet, effort: Effort) -> float:
-    """Return how long it takes to read the shared parts of a prompt, in ms."""
-    speed = speed_of(fleet, effort.service, effort.model)
-    return effort.shared_tokens * speed.read_ms
+def shared_prefill_ms(fleet: Fleet, prompt: Prompt) -> float:
+    """Return the prefill time of a prompt's shared parts, in ms."""
+    speed = prefill_speed(fleet, prompt.service, prompt.model)
+    return prompt.shared_tokens * speed.read_ms
 
 
-def unseen_kept(fleet: Fleet, effort: Effort) -> float:
-    """Return how likely an owner keeps a prompt that this box knows nothing of."""
+def unseen_cache_rate(fleet: Fleet, prompt: Prompt) -> float:
+    """Return the probability that an owner has a prompt cached unknown to this box."""
     return fleet.unseen_cache_rates.get(
-        (effort.service.name, effort.model), UNSEEN_KEPT
+        (prompt.service.name, prompt.model), DEFAULT_UNSEEN_CACHE_RATE
     )
 
 
-def note_first_event(
+def record_first_event(
     fleet: Fleet,
     row: WorkerRow,
-    effort: Effort,
-    expected: Estimate,
+    prompt: Prompt,
+    expected: FirstEventEstimate,
     first_ms: float,
     now: Millis,
 ) -> None:
-    """Take in when a first event came: what it tells of speed, memory and others."""
+    """Update speed, cache rate and unreported waiting time from a first event."""
     if expected.unseen:
-        _note_unseen(fleet, effort, expected, first_ms)
+        _update_unseen_rate(fleet, prompt, expected, first_ms)
     else:
-        _note_speed(fleet, effort, expected, first_ms)
-    beyond = max(0.0, first_ms - expected.first_ms + expected.beyond_ms)
-    before = _beyond_ms(row, now)
-    row.unreported_prefill_ms = before + OTHERS_SMOOTHING * (beyond - before)
+        _update_speed(fleet, prompt, expected, first_ms)
+    unreported = max(0.0, first_ms - expected.first_ms + expected.unreported_ms)
+    before = _unreported_wait_ms(row, now)
+    row.unreported_prefill_ms = before + UNREPORTED_SMOOTHING * (unreported - before)
     row.unreported_prefill_at = now
 
 
-def _note_speed(
-    fleet: Fleet, effort: Effort, expected: Estimate, first_ms: float
+def _update_speed(
+    fleet: Fleet, prompt: Prompt, expected: FirstEventEstimate, first_ms: float
 ) -> None:
-    """Move both parts of a speed towards a quantile, each by its part of the time."""
-    key = (effort.service.name, effort.model)
+    """Move both components of a speed towards a quantile, in proportion to size."""
+    key = (prompt.service.name, prompt.model)
     speed = fleet.prefill_speeds.get(key)
     if speed is None:
-        base_ms = FIRST_BASE_PART * first_ms
+        base_ms = INITIAL_BASE_FRACTION * first_ms
         read_ms = (first_ms - base_ms) / max(1.0, expected.unread)
         fleet.prefill_speeds[key] = PrefillSpeed(read_ms, base_ms)
         return
-    usual = speed.base_ms + speed.read_ms * expected.unread
-    if expected.wait_ms > QUIET_PART * expected.first_ms or usual <= 0.0:
+    expected_ms = speed.base_ms + speed.read_ms * expected.unread
+    if expected.wait_ms > MAX_WAIT_FRACTION * expected.first_ms or expected_ms <= 0.0:
         return
     speed.answers += 1
-    step = max(SPEED_STEP_LEAST, SPEED_STEP_MOST / speed.answers)
-    step *= SPEED_QUANTILE if first_ms > usual else SPEED_QUANTILE - 1.0
-    reading = speed.read_ms * expected.unread / usual
-    speed.read_ms *= 1.0 + step * reading
-    speed.base_ms *= 1.0 + step * (1.0 - reading)
+    step = max(MIN_SPEED_STEP, MAX_SPEED_STEP / speed.answers)
+    step *= SPEED_QUANTILE if first_ms > expected_ms else SPEED_QUANTILE - 1.0
+    prefill_fraction = speed.read_ms * expected.unread / expected_ms
+    speed.read_ms *= 1.0 + step * prefill_fraction
+    speed.base_ms *= 1.0 + step * (1.0 - prefill_fraction)
 
 
-def _note_unseen(
-    fleet: Fleet, effort: Effort, expected: Estimate, first_ms: float
+def _update_unseen_rate(
+    fleet: Fleet, prompt: Prompt, expected: FirstEventEstimate, first_ms: float
 ) -> None:
-    """Take in whether an owner kept a prompt that this box knew nothing of."""
-    speed = speed_of(fleet, effort.service, effort.model)
-    own_tokens = effort.read - 0.5 * effort.shared_tokens
-    middle = expected.wait_ms + speed.base_ms + own_tokens * speed.read_ms
-    before = unseen_kept(fleet, effort)
-    kept = 1.0 if first_ms < middle else 0.0
-    key = (effort.service.name, effort.model)
-    fleet.unseen_cache_rates[key] = before + UNSEEN_SMOOTHING * (kept - before)
-
-
-def take_speed(
-    fleet: Fleet, service: ServiceId, model: ModelId, told: PrefillSpeed
+    """Record whether an owner had a prompt cached that this box did not know of."""
+    speed = prefill_speed(fleet, prompt.service, prompt.model)
+    own_tokens = prompt.read - 0.5 * prompt.shared_tokens
+    threshold_ms = expected.wait_ms + speed.base_ms + own_tokens * speed.read_ms
+    before = unseen_cache_rate(fleet, prompt)
+    hit = 1.0 if first_ms < threshold_ms else 0.0
+    key = (prompt.service.name, prompt.model)
+    fleet.unseen_cache_rates[key] = before + UNSEEN_CACHE_SMOOTHING * (hit - before)
+
+
+def merge_prefill_speed(
+    fleet: Fleet, service: ServiceId, model: ModelId, reported: PrefillSpeed
 ) -> None:
-    """Take in what a peer learned of a speed: each box moves a little towards it."""
+    """Move the prefill speed a little towards the one that a peer learned."""
     speed = fleet.prefill_speeds.get((service, model))
     if speed is None:
-        fleet.prefill_speeds[(service, model)] = told
+        fleet.prefill_speeds[(service, model)] = reported
         return
-    speed.read_ms += POOL_WEIGHT * (told.read_ms - speed.read_ms)
-    speed.base_ms += POOL_WEIGHT * (told.base_ms - speed.base_ms)
+    speed.read_ms += PEER_SPEED_WEIGHT * (reported.read_ms - speed.read_ms)
+    speed.base_ms += PEER_SPEED_WEIGHT * (reported.base_ms - speed.base_ms)
 
 
-def note_prompt(
+def record_sent_prompt(
     fleet: Fleet,
     row: WorkerRow,
-    effort: Effort,
+    prompt: Prompt,
     own: PromptPart,
     now: Millis,
 ) -> None:
-    """Take in that an engine will read a prompt, and what its memory is short of then.
+    """Record that an engine will process a prompt, which may evict cached parts.
 
-    Of its memory this box counts on its share, as all boxes send there.
+    This box assumes that its share of the engine's memory is available to it, as all
+    boxes send prompts there.
     """
-    known = kept_tokens(row.kept, effort.model, effort.shared)
-    if known < effort.shared_tokens and shared_read_ms(fleet, effort) > TOLD_READ_MS:
-        read = RecentPrefill(row.name, effort.model, effort.shared, now)
-        fleet.recent_prefills.append(read)
+    cached = cached_tokens(row.kept, prompt.model, prompt.shared_parts)
+    if (
+        cached < prompt.shared_tokens
+        and shared_prefill_ms(fleet, prompt) > MIN_REPORTED_PREFILL_MS
+    ):
+        prefill = RecentPrefill(row.name, prompt.model, prompt.shared_parts, now)
+        fleet.recent_prefills.append(prefill)
     boxes = len(fleet.peers) + 1
-    capacity = effort.service.kv_capacity_tokens / boxes
-    note_read(row.kept, effort.model, (*effort.shared, own), capacity)
+    capacity = prompt.service.kv_capacity_tokens / boxes
+    record_prefill(row.kept, prompt.model, (*prompt.shared_parts, own), capacity)
 
 
-def newest_reads(fleet: Fleet, now: Millis) -> tuple[RecentPrefill, ...]:
-    """Return the prompts read that peers shall hear of."""
-    return tuple(r for r in fleet.recent_prefills if now - r.at < TOLD_FOR_MS)
+def reportable_prefills(fleet: Fleet, now: Millis) -> tuple[RecentPrefill, ...]:
+    """Return the recent prefills to report to peers."""
+    return tuple(r for r in fleet.recent_prefills if now - r.at < REPORT_PREFILL_FOR_MS)
 
 
-def take_read(fleet: Fleet, read: RecentPrefill) -> None:
-    """Take in that another box sent a prompt to an engine."""
-    row = fleet.workers.rows.get(read.worker)
+def apply_peer_prefill(fleet: Fleet, prefill: RecentPrefill) -> None:
+    """Record a prompt that another box sent to an engine."""
+    row = fleet.workers.rows.get(prefill.worker)
     if row is not None:
-        note_read(row.kept, read.model, read.shared_parts, 0.0)
+        record_prefill(row.kept, prefill.model, prefill.shared_parts, 0.0)
--- a/src/spanshunt/systems/gossip.py
+++ b/src/spanshunt/systems/gossip.py
@@ -25,8 +25,8 @@
 from .freshness import may_witness
 from .freshness import prove_fresh
 from .freshness import quorum_time
-from .learning import merge
-from .learning import news_since
+from .learning import changes_since
+from .learning import merge_counts
 from .limiting import hear_usage
 from .limiting import usage_rows
 
@@ -49,7 +49,7 @@
 def tell(state: State, to: Incarnation, now: Millis, rng: random.Random) -> Exchange:
     """Return what to tell a peer."""
     ticket = state.evidence_sent.get(to, 0)
-    evidence, upto = news_since(state.evidence, ticket, EVIDENCE_A_ROUND)
+    evidence, upto = changes_since(state.evidence, ticket, EVIDENCE_A_ROUND)
     state.evidence_sent[to] = upto
     usage = usage_rows(state.usage, state.identity.incarnation)
     if len(usage) > USAGE_A_ROUND:
@@ -82,7 +82,7 @@
     for row in told.members:
         hear_member(state, row, now)
     state.workers.leaving.update(told.leaving)
-    merge(state.evidence, told.evidence, wall)
+    merge_counts(state.evidence, told.evidence, wall)
     hear_usage(state.usage, told.usage, state.identity.incarnation, now)
     for suspension in told.suspended:
         _hear_suspension(state, suspension, now)
--- a/src/spanshunt/systems/guarding.py
+++ b/src/spanshunt/systems/guarding.py
@@ -24,7 +24,7 @@
 from ..tables.evidence import Counts
 from ..tables.evidence import Evidence
 from ..tables.state import SuspendedRow
-from .learning import by_epoch
+from .learning import counts_by_epoch
 from .sequential import log_change_above
 from .sequential import log_change_below
 from .sequential import log_evidence_above
@@ -129,7 +129,7 @@
     """Return the step that is due for one roll-out; None to hold."""
     if _is_over(config, row):
         return None
-    epochs = by_epoch(evidence, row.version)
+    epochs = counts_by_epoch(evidence, row.version)
     if row.state is RolloutState.DONE:
         suspicion = late_suspicion(row.guards, epochs)
         if suspicion.log_evidence >= 0:
--- a/src/spanshunt/systems/keeping.py
+++ b/src/spanshunt/systems/keeping.py
@@ -1,9 +1,9 @@
-"""Which prompt parts an engine probably keeps: what was sent there, least used first.
+"""Model of the prompt parts that each engine has cached, with LRU eviction.
 
-An engine keeps the parts that it read until it needs the memory, the longest unused
-give way first, and a part counts only where every part before it is kept as well. The
-table holds what this box sent; other boxes send, too, so a box takes only its share of
-the memory for its own.
+An engine caches the prompt parts that it has processed until it needs the memory, and
+evicts the least recently used part first. A part is usable only if all parts before it
+are cached as well. The table contains what this box sent. Other boxes send prompts,
+too, so a box assumes that only its share of the memory is available to it.
 """
 
 import typing as t
@@ -12,54 +12,55 @@
 from ..tables.engines import PromptCache
 from ..tables.engines import PromptPart
 
-PARTS_MOST = 512
-"""Parts remembered of one engine at most, whatever its memory: 40 KB."""
+MAX_CACHED_PARTS = 512
+"""Maximum number of parts recorded per engine, whatever its memory: 40 KB."""
 
 
 def part_key(model: ModelId, part: str) -> str:
-    """Return what a part is kept under: each model reads for itself."""
+    """Return the cache key of a part; each model has prompt state of its own."""
     return f"{model}/{part}"
 
 
-def kept_tokens(
-    kept: PromptCache, model: ModelId, shared: t.Sequence[PromptPart]
+def cached_tokens(
+    cache: PromptCache, model: ModelId, shared: t.Sequence[PromptPart]
 ) -> int:
-    """Return how many shared tokens are kept, up to the first part that isn't."""
+    """Return the number of shared tokens cached before the first part that is not."""
     tokens = 0
     for part in shared:
-        if part_key(model, part.name) not in kept.parts:
+        if part_key(model, part.name) not in cache.parts:
             break
         tokens += part.tokens
     return tokens
 
 
-def note_read(
-    kept: PromptCache,
+def record_prefill(
+    cache: PromptCache,
     model: ModelId,
     parts: t.Sequence[PromptPart],
     capacity: float,
 ) -> None:
-    """Take in that an engine reads a prompt, and forget what its memory is short of.
+    """Record that an engine processes a prompt, and evict parts beyond its capacity.
 
     Parameters
     ----------
-    kept : PromptCache
-        The engine's parts.
+    cache : PromptCache
+        The parts that the engine has cached.
     model : str
-        The model that reads.
+        The model that processes the prompt.
     parts : sequence of PromptPart
-        The parts, in the order of the prompt; its own last part takes memory as well.
+        The parts in prompt order, including the last one, which belongs to this request
+        alone but takes memory as well.
     capacity : float
-        Tokens of the engine's memory that this box counts on; 0 for unknown.
+        Tokens of the engine's memory available to this box; 0 if unknown.
     """
     for part in parts:
         key = part_key(model, part.name)
-        kept.tokens += part.tokens - kept.parts.pop(key, 0)
-        kept.parts[key] = part.tokens
-    while kept.parts and _too_much(kept, capacity):
-        oldest = next(iter(kept.parts))
-        kept.tokens -= kept.parts.pop(oldest)
+        cache.tokens += part.tokens - cache.parts.pop(key, 0)
+        cache.parts[key] = part.tokens
+    while cache.parts and _is_over_capacity(cache, capacity):
+        oldest = next(iter(cache.parts))
+        cache.tokens -= cache.parts.pop(oldest)
 
 
-def _too_much(kept: PromptCache, capacity: float) -> bool:
-    return len(kept.parts) > PARTS_MOST or 0 < capacity < kept.tokens
+def _is_over_capacity(cache: PromptCache, capacity: float) -> bool:
+    return len(cache.parts) > MAX_CACHED_PARTS or 0 < capacity < cache.tokens
--- a/src/spanshunt/systems/learning.py
+++ b/src/spanshunt/systems/learning.py
@@ -1,4 +1,4 @@
-"""Learning: count what was seen, pool it, estimate what a version is worth."""
+"""Learning from results: counting, pooling and estimating the quality of versions."""
 
 import math
 import typing as t
@@ -18,40 +18,43 @@
 from ..tables.evidence import Pool
 
 GOOD_SCORE = 0.5
-"""A rating from here on is good."""
+"""Minimum score of a good rating."""
 
-LEAST_STRENGTH = 20.0
-MOST_STRENGTH = 2_000.0
-"""How many ratings of an organisation itself its class's mean may be worth.
+MIN_PRIOR_STRENGTH = 20.0
+MAX_PRIOR_STRENGTH = 2_000.0
+"""Bounds of the prior strength, which is the number of an organisation's own ratings
+that the mean of its class counts as. The value between them is learned from the
+variance between organisations."""
 
-Where between them is learned from how much organisations differ.
-"""
-
-LEAST_RATED = 10
-"""An organisation with fewer ratings says nothing of how much they differ."""
+MIN_ORG_RATINGS = 10
+"""Minimum number of ratings for an organisation to count in the variance between
+organisations."""
 
 PRIOR_MEAN = 0.5
 PRIOR_RATINGS = 2.0
 
-Z_CONFIDENCE = 1.645
-"""Width of an interval downwards, in standard deviations: one-sided 95 %."""
+Z_LOWER = 1.645
+"""Width of the interval below the mean, in standard deviations: one-sided 95 %."""
 
-Z_HOPE = 2.576
-"""Width upwards: one-sided 99.5 %, since it is looked at after every rating."""
+Z_UPPER = 2.576
+"""Width of the interval above the mean, in standard deviations: one-sided 99.5 %,
+because it is tested after every rating."""
 
-LEAST_TRIAL = 12.0
-"""With fewer ratings than this, two of them the prior's, no version is given up."""
+MIN_TRIAL_RATINGS = 12.0
+"""Minimum number of ratings, including two of the prior, before a version is given
+up."""
 
 
-class Estimate(msgspec.Struct, frozen=True):
-    """The share of good answers that is to be expected.
+class QualityEstimate(msgspec.Struct, frozen=True):
+    """Estimate of the share of good answers.
 
     Attributes
     ----------
     mean, low, high : float
-        From 0 to 1; one-sided bounds of 95 % downwards and 99.5 % upwards.
+        Mean and bounds, in 0 to 1. The bounds are one-sided: 95 % below and 99.5 %
+        above.
     ratings : float
-        How many ratings the estimate is worth.
+        Number of ratings that the estimate counts as.
     """
 
     mean: float
@@ -60,29 +63,33 @@
     ratings: float
 
     def may_meet(self, target: float) -> bool:
-        """Tell whether the share may be at `target` or over it, as far as is known."""
-        return self.ratings < LEAST_TRIAL or self.high >= target
+        """Return whether the share may reach `target`, according to the evidence so
+        far.
+        """
+        return self.ratings < MIN_TRIAL_RATINGS or self.high >= target
 
 
 def epoch_of(wall: Millis) -> int:
-    """Return the epoch of a wall clock time."""
+    """Return the epoch of a wall-clock time."""
     return wall // EPOCH_MS
 
 
-def observe(
-    evidence: Evidence, origin: str, wall: Millis, cell: Cell, seen: Counts
+def record_counts(
+    evidence: Evidence, origin: str, wall: Millis, cell: Cell, counts: Counts
 ) -> None:
-    """Count what this box saw."""
+    """Add results that this box observed."""
     key = EvidenceKey(origin, epoch_of(wall), cell)
-    _row(evidence, key).add(seen)
-    _add_to_pool(evidence.pool, cell, seen)
-    _touch(evidence, key)
+    _get_row(evidence, key).add(counts)
+    _add_to_pool(evidence.pool, cell, counts)
+    _mark_changed(evidence, key)
 
 
-def merge(evidence: Evidence, rows: t.Iterable[EpochCounts], wall: Millis) -> int:
-    """Take in peers' counts; return how many rows were news."""
+def merge_counts(
+    evidence: Evidence, rows: t.Iterable[EpochCounts], wall: Millis
+) -> int:
+    """Merge peers' counts and return how many rows changed."""
     oldest = epoch_of(wall) - EPOCHS
-    news = 0
+    changed_rows = 0
     for row in rows:
         key = EvidenceKey(row.origin, row.epoch, row.cell)
         held = evidence.rows.get(key)
@@ -91,34 +98,34 @@
         change = msgspec.structs.replace(row.counts)
         if held is not None:
             change.subtract(held)
-        _row(evidence, key).add(change)
+        _get_row(evidence, key).add(change)
         _add_to_pool(evidence.pool, key.cell, change)
-        _touch(evidence, key)
-        news += 1
-    return news
+        _mark_changed(evidence, key)
+        changed_rows += 1
+    return changed_rows
 
 
-def news_since(
+def changes_since(
     evidence: Evidence, ticket: int, limit: int
 ) -> tuple[tuple[EpochCounts, ...], int]:
-    """Return up to `limit` rows changed since `ticket`, and the ticket to go on from.
+    """Return up to `limit` rows changed since `ticket`, and the next ticket.
 
-    The oldest changes come first, so that a peer which asks again gets the rest.
+    The oldest changes come first, so that a peer gets the rest with its next call.
     """
-    found: list[EpochCounts] = []
-    upto = evidence.next_change
+    rows: list[EpochCounts] = []
+    next_ticket = evidence.next_change
     recent = []
     for key, changed in reversed(evidence.changed.items()):
         if changed < ticket:
             break
         recent.append((key, changed))
     for key, changed in reversed(recent):
-        if len(found) == limit:
-            upto = changed
+        if len(rows) == limit:
+            next_ticket = changed
             break
         cell = key.cell
         counts = msgspec.structs.replace(evidence.rows[key])
-        found.append(
+        rows.append(
             EpochCounts(
                 key.origin,
                 key.epoch,
@@ -128,11 +135,11 @@
                 counts,
             )
         )
-    return tuple(found), upto
+    return tuple(rows), next_ticket
 
 
-def expire(evidence: Evidence, wall: Millis) -> None:
-    """Drop the epochs that are over an hour old."""
+def expire_epochs(evidence: Evidence, wall: Millis) -> None:
+    """Remove the epochs that are more than an hour old."""
     oldest = epoch_of(wall) - EPOCHS
     for key in [key for key in evidence.rows if key.epoch <= oldest]:
         gone = evidence.rows.pop(key)
@@ -141,8 +148,10 @@
         _take_from_pool(evidence.pool, key.cell, gone)
 
 
-def by_epoch(evidence: Evidence, version: VersionId) -> dict[int, dict[Cell, Counts]]:
-    """Return what is known of `version`, summed over origins, by epoch and cell."""
+def counts_by_epoch(
+    evidence: Evidence, version: VersionId
+) -> dict[int, dict[Cell, Counts]]:
+    """Return the counts of `version`, summed over origins, by epoch and cell."""
     epochs: dict[int, dict[Cell, Counts]] = {}
     for key in evidence.by_version.get(version, ()):
         cells = epochs.setdefault(key.epoch, {})
@@ -150,24 +159,26 @@
     return dict(sorted(epochs.items()))
 
 
-def estimate(pooled: Pool, cell: Cell, strength: float | None = None) -> Estimate:
-    """Estimate a cell; with few ratings of its own it leans on its class's mean.
+def estimate_quality(
+    pool: Pool, cell: Cell, strength: float | None = None
+) -> QualityEstimate:
+    """Estimate the quality of a cell, with the mean of its class as the prior.
 
     Parameters
     ----------
-    pooled : Pool
-        The evidence.
+    pool : Pool
+        The pooled evidence.
     cell : Cell
-        What to estimate.
+        The cell to estimate.
     strength : float, optional
-        How many ratings the class's mean is worth, if it was worked out before.
+        Prior strength of the class's mean, in ratings, if it is already known.
     """
     if strength is None:
-        strength = prior_strength(pooled, cell.version, cell.request_class)
-    whole = pooled.classes.get((cell.version, cell.request_class), Counts())
-    own = pooled.cells.get(cell, Counts())
-    others_rated = whole.rated - own.rated
-    others_good = whole.good - own.good
+        strength = prior_strength(pool, cell.version, cell.request_class)
+    class_counts = pool.classes.get((cell.version, cell.request_class), Counts())
+    own = pool.cells.get(cell, Counts())
+    others_rated = class_counts.rated - own.rated
+    others_good = class_counts.good - own.good
     prior_mean = (others_good + PRIOR_RATINGS * PRIOR_MEAN) / (
         others_rated + PRIOR_RATINGS
     )
@@ -175,46 +186,51 @@
     total = prior + own.rated
     mean = (prior * prior_mean + own.good) / total
     deviation = math.sqrt(mean * (1 - mean) / (total + 1))
-    low = max(0.0, mean - Z_CONFIDENCE * deviation)
-    high = min(1.0, mean + Z_HOPE * deviation)
-    return Estimate(mean, low, high, total)
+    low = max(0.0, mean - Z_LOWER * deviation)
+    high = min(1.0, mean + Z_UPPER * deviation)
+    return QualityEstimate(mean, low, high, total)
 
 
-def prior_strength(pooled: Pool, version: VersionId, name: ClassId) -> float:
-    """Return how many own ratings a class's mean is worth to an organisation.
+def prior_strength(pool: Pool, version: VersionId, name: ClassId) -> float:
+    """Return how many of an organisation's own ratings the mean of its class counts as.
 
-    The variance between organisations is estimated from that of their means, less what
-    chance alone gives (the method of moments of DerSimonian and Laird, 1986). If they
-    do not differ, a class's mean says as much of each as ratings of its own.
+    The variance between organisations is estimated from that of their means, less the
+    part that chance explains (method of moments of DerSimonian and Laird, 1986). If the
+    organisations do not differ, the mean of the class predicts each as well as its own
+    ratings do.
     """
     pair = (version, name)
-    whole = pooled.classes.get(pair, Counts())
-    mean = whole.good / whole.rated if whole.rated else 0.0
+    class_counts = pool.classes.get(pair, Counts())
+    mean = class_counts.good / class_counts.rated if class_counts.rated else 0.0
     variance = mean * (1 - mean)
     rows = [
         counts
-        for org in pooled.orgs.get(pair, ())
-        if (counts := pooled.cells[Cell(version, name, org)]).rated >= LEAST_RATED
+        for org in pool.orgs.get(pair, ())
+        if (counts := pool.cells[Cell(version, name, org)]).rated >= MIN_ORG_RATINGS
     ]
     if len(rows) < 2 or variance <= 0:
-        return LEAST_STRENGTH
+        return MIN_PRIOR_STRENGTH
     total = sum(row.rated for row in rows)
     squares = sum(row.rated**2 for row in rows)
-    spread = sum(row.rated * (row.good / row.rated - mean) ** 2 for row in rows)
-    excess = spread / variance - (len(rows) - 1)
-    between = max(0.0, excess * variance / (total - squares / total))
-    if between == 0.0:
-        return MOST_STRENGTH
-    return min(MOST_STRENGTH, max(LEAST_STRENGTH, variance / between - 1))
+    weighted_variance = sum(
+        row.rated * (row.good / row.rated - mean) ** 2 for row in rows
+    )
+    excess = weighted_variance / variance - (len(rows) - 1)
+    between_variance = max(0.0, excess * variance / (total - squares / total))
+    if between_variance == 0.0:
+        return MAX_PRIOR_STRENGTH
+    return min(
+        MAX_PRIOR_STRENGTH, max(MIN_PRIOR_STRENGTH, variance / between_variance - 1)
+    )
 
 
-def _touch(evidence: Evidence, key: EvidenceKey) -> None:
+def _mark_changed(evidence: Evidence, key: EvidenceKey) -> None:
     evidence.changed.pop(key, None)
     evidence.changed[key] = evidence.next_change
     evidence.next_change += 1
 
 
-def _row(evidence: Evidence, key: EvidenceKey) -> Counts:
+def _get_row(evidence: Evidence, key: EvidenceKey) -> Counts:
     row = evidence.rows.get(key)
     if row is None:
         row = evidence.rows[key] = Counts()
--- a/src/spanshunt/systems/pacing.py
+++ b/src/spanshunt/systems/pacing.py
@@ -20,7 +20,7 @@
 """Steps by which a learned time moves, as parts of it: the first ones and later ones.
 Load that doubles the times is followed within some sixty answers."""
 
-POOL_WEIGHT = 0.2
+PEER_SPEED_WEIGHT = 0.2
 """Weight of a peer's word of a time against one's own, at each exchange."""
 
 SLOW_WRITE_FACTOR = 1.7
@@ -65,7 +65,7 @@
     if pace is None:
         fleet.decode_speeds[(service, model)] = DecodeSpeed(gap_ms, 1)
         return
-    pace.gap_ms += POOL_WEIGHT * (gap_ms - pace.gap_ms)
+    pace.gap_ms += PEER_SPEED_WEIGHT * (gap_ms - pace.gap_ms)
 
 
 STALL_MS = 600
--- a/src/spanshunt/systems/placing.py
+++ b/src/spanshunt/systems/placing.py
@@ -1,9 +1,9 @@
-"""Choice of a worker for one attempt: load, prompt memory, distance, health.
+"""Choice of a worker for one attempt by load, prompt cache, failure domain and health.
 
-Each candidate gets an estimate of what it costs to run there: a prompt in ms of the
-time to its first event, a plain request in parts of a batch. The cheapest is taken.
-Boxes see the same old reports, so the estimate counts this box's own requests exactly
-and draws among near equals at random.
+Each candidate gets an estimated cost: for a prompt, ms of the time to its first event;
+for a plain request, fractions of a batch. The worker with the lowest cost is chosen.
+Boxes see the same old reports. The estimate therefore counts this box's own requests
+exactly and has a random part that spreads requests over similar workers.
 """
 
 import math
@@ -21,11 +21,11 @@
 from ..tables.workers import WorkerRow
 from ..tables.workers import WorkerState
 from ..utils import rendezvous
-from .estimating import Effort
-from .estimating import Estimate
-from .estimating import estimator
-from .estimating import shared_read_ms
-from .estimating import speed_of
+from .estimating import FirstEventEstimate
+from .estimating import Prompt
+from .estimating import make_estimator
+from .estimating import prefill_speed
+from .estimating import shared_prefill_ms
 from .evacuating import emptied_domains
 from .keeping import part_key
 from .outages import is_out_of_reach
@@ -35,285 +35,319 @@
 from .throttling import is_limited
 from .warming import may_send_to
 
-FAR_COST = 0.35
-"""What another failure domain costs a plain request, in parts of a batch: bytes between
-domains are priced, and an answer from there must be that much sooner to be worth
-them."""
+CROSS_DOMAIN_BATCH_COST = 0.35
+"""Cost of another failure domain for a plain request, in batches. Traffic between
+domains is charged, so an answer from there must be correspondingly sooner."""
 
-FAR_AIM_PART = 0.2
-"""What another failure domain costs a prompt, in parts of the route's aim: an engine
-there must be free that much sooner to be worth the bytes."""
+CROSS_DOMAIN_LATENCY_FRACTION = 0.2
+"""Cost of another failure domain for a prompt, as a fraction of the route's target
+latency. An engine there must be free that much sooner to justify the traffic."""
 
-LOAD_AIM_PART = 0.1
-"""What a batch that is full costs a prompt, in parts of the route's aim; in proportion
-else. Each token comes more slowly the more of them are made at once."""
+LOAD_LATENCY_FRACTION = 0.1
+"""Cost of a full batch for a prompt, as a fraction of the route's target latency;
+proportional for a part of a batch. Each token takes longer the more of them are
+generated at once."""
 
-ERROR_AIM_PART = 2.0
-"""What a worker costs a prompt that fails all its answers, in parts of the aim."""
+ERROR_LATENCY_FRACTION = 2.0
+"""Cost for a prompt of a worker that fails all answers, as a multiple of the target
+latency."""
 
-NOISE_AIM_PART = 0.005
-"""Size of the random part for a prompt, in parts of the aim: boxes that see the same
-draw among engines that are nearly alike."""
+NOISE_LATENCY_FRACTION = 0.005
+"""Size of the random part for a prompt, as a fraction of the target latency. It makes
+boxes with the same view choose different ones of nearly equal engines."""
 
-ERROR_COST = 2.0
-"""What a worker costs that fails all its answers, in parts of a batch."""
+ERROR_BATCH_COST = 2.0
+"""Cost of a worker that fails all answers, in batches."""
 
-GRANT_AIM_PART, GRANT_BATCH_PART = 0.5, 1.0
-"""What a limited worker's open grant is worth to a prompt, in parts of the aim, and to
-a plain request, in parts of a batch: more than distance and load, as one that is not
-used soon is lost, and each of many boxes has one seldom."""
+GRANT_LATENCY_FRACTION, GRANT_BATCH_FRACTION = 0.5, 1.0
+"""Bonus of a rate-limited worker with an open grant: for a prompt as a fraction of the
+target latency, for a plain request in batches. It outweighs domain and load, because a
+grant that is not used soon is lost, and each of many boxes seldom has one."""
 
-NOISE = 0.04
-"""Size of the random part, in parts of a batch: about one request of a batch of 32."""
+NOISE_BATCH_FRACTION = 0.04
+"""Size of the random part, in batches: about one request of a batch of 32."""
 
 REPORT_HALF_LIFE_MS = 400
-"""How fast other boxes' part of a worker's report loses weight, in ms: about the time
-that a short answer takes."""
+"""Half-life of the weight of other boxes' requests in a worker's report, in ms. It is
+about the duration of a short answer."""
 
 
-class Wanted(msgspec.Struct, frozen=True):
-    """What an attempt needs of a worker.
+class PlacementRequest(msgspec.Struct, frozen=True):
+    """Requirements of an attempt on its worker.
 
     Attributes
     ----------
     service : str
-        Who must answer.
+        The service that must answer.
     rule : VersionRule
         Which versions may answer.
     domain : str
         The failure domain of this box.
-    effort : Effort or None
-        What a prompt asks of an engine; None for plain requests.
+    prompt : Prompt or None
+        The prompt that the engine must process; None for plain requests.
     target_latency_ms : int
-        Time within which the first event shall come, in ms.
-    avoid : collection of str
-        Workers that had the request already.
-    again : bool
-        Whether one of these is better than none.
+        Target time to the first event, in ms.
+    tried : collection of str
+        Workers that already received the request.
+    allow_tried : bool
+        Whether such a worker may be chosen if there is no other.
     silent : collection of str
         Workers that boxes found silent.
     eager : bool
-        Whether it may use a limited worker's grant as soon as that opens.
+        Whether the request may use a rate-limited worker's grant as soon as it opens.
     regions : tuple of frozenset of str
-        Regions that the worker must be in, each of them; an empty one allows any.
-    apart : collection of str or None
-        Workers that have requests under which workers ended, where this is one, too;
-        None where it is not.
+        Sets of allowed regions; the worker must be in each of them. An empty set allows
+        any region.
+    workers_with_suspects : collection of str or None
+        Workers that are answering other suspect requests, if this request is suspect;
+        None if it is not.
     """
 
     service: ServiceId
     rule: VersionRule
     domain: DomainId
-    effort: Effort | None = None
+    prompt: Prompt | None = None
     target_latency_ms: Millis = Millis(0)
-    avoid: t.Collection[WorkerId] = ()
-    again: bool = False
+    tried: t.Collection[WorkerId] = ()
+    allow_tried: bool = False
     silent: t.Collection[WorkerId] = ()
     eager: bool = True
     regions: tuple[frozenset[RegionId], ...] = ()
-    apart: t.Collection[WorkerId] | None = None
+    workers_with_suspects: t.Collection[WorkerId] | None = None
 
 
-class Placed(msgspec.Struct, frozen=True):
-    """A chosen worker, and what the choice rested on, for logs.
+class Placement(msgspec.Struct, frozen=True):
+    """A chosen worker and the basis of the choice, for logs.
 
     Attributes
     ----------
     worker : WorkerRow
         The worker.
     load : float
-        Its load, in parts of its batch.
+        Its load, as a fraction of its batch.
     candidates : int
-        Workers that the choice was among.
+        Number of workers to choose from.
     report_age_ms : int
-        Age of the report that the load rests on; -1 for none.
-    expected : Estimate or None
-        What a prompt probably meets there.
+        Age of the worker's last load report, in ms; -1 for none.
+    expected : FirstEventEstimate or None
+        Estimate for a prompt at the worker; None for plain requests.
     """
 
     worker: WorkerRow
     load: float
     candidates: int
     report_age_ms: int
-    expected: Estimate | None = None
+    expected: FirstEventEstimate | None = None
 
 
-def place(
-    fleet: Fleet, wanted: Wanted, now: Millis, rng: random.Random
-) -> Placed | None:
-    """Choose a worker, or none if no worker takes work."""
-    rows = candidates(fleet, wanted, now)
+def choose_worker(
+    fleet: Fleet, request: PlacementRequest, now: Millis, rng: random.Random
+) -> Placement | None:
+    """Choose a worker; return None if no worker accepts the request."""
+    rows = candidate_workers(fleet, request, now)
     if not rows:
         return None
-    if wanted.apart is not None:
-        rows = [_lone_place(rows, wanted.apart, now, rng)]
-    found: Estimate | None = None
-    if wanted.effort is None:
-        best = min(rows, key=lambda row: _plain_cost(row, wanted, now, rng))
+    if request.workers_with_suspects is not None:
+        rows = [_isolated_worker(rows, request.workers_with_suspects, now, rng)]
+    estimate: FirstEventEstimate | None = None
+    if request.prompt is None:
+        best = min(rows, key=lambda row: _plain_cost(row, request, now, rng))
     else:
-        best, found = _best_engine(fleet, rows, wanted, wanted.effort, now, rng)
+        best, estimate = _best_engine(fleet, rows, request, request.prompt, now, rng)
     age = now - best.reported_at if best.reported_at else -1
-    return Placed(best, batch_load(best, now), len(rows), age, found)
+    return Placement(best, batch_load(best, now), len(rows), age, estimate)
 
 
-def _lone_place(
+def _isolated_worker(
     rows: list[WorkerRow],
-    apart: t.Collection[WorkerId],
+    workers_with_suspects: t.Collection[WorkerId],
     now: Millis,
     rng: random.Random,
 ) -> WorkerRow:
-    """Return where to send a request under which a worker ended.
+    """Return the worker for a request that is suspected of crashing workers.
 
-    A worker with another such request is left out, so that the next end speaks against
-    one of them; of two drawn at random the less loaded is taken. Where workers end by
-    themselves, 24 sound contents were kept back in six plays, without this 36
-    (``bench/ends.py``); beside a content that ends workers none were.
+    Workers with another suspect request are avoided, so that the next crash
+    incriminates only one of them. Of two workers drawn at random the less loaded is
+    taken. Where workers crash by themselves, 24 harmless contents were quarantined in
+    six simulations, compared with 36 without this rule (``bench/ends.py``). Where a
+    content did crash workers, no harmless one was quarantined.
     """
-    free = [row for row in rows if row.name not in apart] or rows
-    drawn = rng.sample(free, min(2, len(free)))
+    unsuspected = [row for row in rows if row.name not in workers_with_suspects] or rows
+    drawn = rng.sample(unsuspected, min(2, len(unsuspected)))
     return min(drawn, key=lambda row: batch_load(row, now))
 
 
 def _plain_cost(
-    row: WorkerRow, wanted: Wanted, now: Millis, rng: random.Random
+    row: WorkerRow, request: PlacementRequest, now: Millis, rng: random.Random
 ) -> float:
-    """Return what a plain request costs at a worker, in parts of a batch."""
+    """Return the cost of a plain request at a worker, in batches."""
     return (
         batch_load(row, now)
-        + (FAR_COST if row.domain != wanted.domain else 0.0)
-        + ERROR_COST * row.error_rate
-        - (GRANT_BATCH_PART if is_limited(row) else 0.0)
-        + NOISE * rng.random()
+        + (CROSS_DOMAIN_BATCH_COST if row.domain != request.domain else 0.0)
+        + ERROR_BATCH_COST * row.error_rate
+        - (GRANT_BATCH_FRACTION if is_limited(row) else 0.0)
+        + NOISE_BATCH_FRACTION * rng.random()
     )
 
 
 def _best_engine(
     fleet: Fleet,
     rows: list[WorkerRow],
-    wanted: Wanted,
-    effort: Effort,
+    request: PlacementRequest,
+    prompt: Prompt,
     now: Millis,
     rng: random.Random,
-) -> tuple[WorkerRow, Estimate]:
-    """Return where a prompt costs least, in ms, and what it probably meets there.
+) -> tuple[WorkerRow, FirstEventEstimate]:
+    """Return the engine with the lowest cost for a prompt, and the estimate for it.
 
-    At its owner it is not charged for what all boxes' requests read there but once.
+    At the cache owner, prefill of the shared parts costs nothing, since the requests of
+    all boxes share it.
     """
-    owner = owner_of(fleet, rows, wanted)
-    speed = speed_of(fleet, effort.service, effort.model)
-    own_ms = speed.base_ms + (effort.read - effort.shared_tokens) * speed.read_ms
-    estimate = estimator(fleet, effort, now)
-    target_latency_ms = wanted.target_latency_ms
-    noise = NOISE_AIM_PART * target_latency_ms
-    best, best_found, least = rows[0], Estimate(), math.inf
+    owner = cache_owner(fleet, rows, request)
+    speed = prefill_speed(fleet, prompt.service, prompt.model)
+    own_prefill_ms = (
+        speed.base_ms + (prompt.read - prompt.shared_tokens) * speed.read_ms
+    )
+    estimate_at = make_estimator(fleet, prompt, now)
+    target_latency_ms = request.target_latency_ms
+    noise = NOISE_LATENCY_FRACTION * target_latency_ms
+    best, best_estimate, least = rows[0], FirstEventEstimate(), math.inf
     for row in rows:
         owns = row.name == owner
-        found = estimate(row, owns)
-        aims = LOAD_AIM_PART * batch_load(row, now) + ERROR_AIM_PART * row.error_rate
-        if row.domain != wanted.domain:
-            aims += FAR_AIM_PART
+        estimate = estimate_at(row, owns)
+        fraction = (
+            LOAD_LATENCY_FRACTION * batch_load(row, now)
+            + ERROR_LATENCY_FRACTION * row.error_rate
+        )
+        if row.domain != request.domain:
+            fraction += CROSS_DOMAIN_LATENCY_FRACTION
         if is_limited(row):
-            aims -= GRANT_AIM_PART
+            fraction -= GRANT_LATENCY_FRACTION
         cost = (
-            found.wait_ms
-            + (own_ms if owns else found.read_ms)
-            + aims * target_latency_ms
+            estimate.wait_ms
+            + (own_prefill_ms if owns else estimate.read_ms)
+            + fraction * target_latency_ms
         )
         cost += noise * rng.random()
         if cost < least:
-            best, best_found, least = row, found, cost
-    return best, best_found
+            best, best_estimate, least = row, estimate, cost
+    return best, best_estimate
 
 
-def candidates(fleet: Fleet, wanted: Wanted, now: Millis) -> list[WorkerRow]:
-    """Return workers that take work; a suspect one only where no other is left."""
-    takes_work = _filter(fleet, wanted, now)
+def candidate_workers(
+    fleet: Fleet, request: PlacementRequest, now: Millis
+) -> list[WorkerRow]:
+    """Return workers that accept the request.
+
+    Ejected, silent and unreachable workers are returned only if there is no other.
+    """
+    takes_work = _availability_filter(fleet, request, now)
     able = [
         row
-        for row in fleet.workers.find_capable(wanted.service, wanted.rule.only)
-        if wanted.rule.admits(row.versions)
+        for row in fleet.workers.find_capable(request.service, request.rule.only)
+        if request.rule.admits(row.versions)
         and takes_work(row)
-        and open_in_ms(fleet, row, wanted, now) <= 0
+        and throttle_wait_ms(fleet, row, request, now) <= 0
     ]
-    rows = [row for row in able if row.name not in wanted.avoid]
-    if not rows and wanted.again:
+    rows = [row for row in able if row.name not in request.tried]
+    if not rows and request.allow_tried:
         rows = able
     live = [
         row
         for row in rows
-        if row.ejected_until <= now and row.name not in wanted.silent
+        if row.ejected_until <= now and row.name not in request.silent
     ]
-    away = {domain for domain in fleet.outages if is_out_of_reach(fleet, domain, now)}
-    near = [row for row in live if row.domain not in away] if away else live
-    return near or live or rows
+    unreachable = {
+        domain for domain in fleet.outages if is_out_of_reach(fleet, domain, now)
+    }
+    reachable = (
+        [row for row in live if row.domain not in unreachable] if unreachable else live
+    )
+    return reachable or live or rows
 
 
-def held_off(fleet: Fleet, wanted: Wanted, now: Millis) -> list[WorkerRow]:
-    """Return workers that could answer but for the limit or the rest they ask for."""
-    takes_work = _filter(fleet, wanted, now)
+def throttled_workers(
+    fleet: Fleet, request: PlacementRequest, now: Millis
+) -> list[WorkerRow]:
+    """Return workers excluded only because of their rate limit or rest period."""
+    takes_work = _availability_filter(fleet, request, now)
     return [
         row
-        for row in fleet.workers.find_capable(wanted.service, wanted.rule.only)
-        if open_in_ms(fleet, row, wanted, now) > 0
-        and wanted.rule.admits(row.versions)
+        for row in fleet.workers.find_capable(request.service, request.rule.only)
+        if throttle_wait_ms(fleet, row, request, now) > 0
+        and request.rule.admits(row.versions)
         and takes_work(row)
     ]
 
 
-def open_in_ms(fleet: Fleet, row: WorkerRow, wanted: Wanted, now: Millis) -> Millis:
-    """Return in how long a worker takes such a request by its own word, in ms."""
+def throttle_wait_ms(
+    fleet: Fleet, row: WorkerRow, request: PlacementRequest, now: Millis
+) -> Millis:
+    """Return how long a worker's own notices exclude such a request, in ms."""
     rest_ms = rest_left_ms(row, now)
     if not is_limited(row):
         return rest_ms
-    return max(rest_ms, grant_wait_ms(fleet, row, now, eager=wanted.eager))
+    return max(rest_ms, grant_wait_ms(fleet, row, now, eager=request.eager))
 
 
-def _filter(fleet: Fleet, wanted: Wanted, now: Millis) -> t.Callable[[WorkerRow], bool]:
-    """Return what tells whether a worker takes such requests, but for its own word."""
+def _availability_filter(
+    fleet: Fleet, request: PlacementRequest, now: Millis
+) -> t.Callable[[WorkerRow], bool]:
+    """Return a predicate for workers available apart from their own notices."""
     leaving = fleet.workers.leaving
     emptied = emptied_domains(fleet)
-    bound = [allowed for allowed in wanted.regions if allowed]
+    bounds = [allowed for allowed in request.regions if allowed]
 
     def takes_work(row: WorkerRow) -> bool:
         if row.name in leaving or row.state is WorkerState.LEAVING:
             return False
         if row.domain in emptied:
             return False
-        if bound and not _is_home(fleet, row, bound):
+        if bounds and not _is_in_regions(fleet, row, bounds):
             return False
         return row.cold_until <= now or may_send_to(fleet, row, now)
 
     return takes_work
 
 
-def _is_home(
-    fleet: Fleet, row: WorkerRow, bound: t.Iterable[frozenset[RegionId]]
+def _is_in_regions(
+    fleet: Fleet, row: WorkerRow, bounds: t.Iterable[frozenset[RegionId]]
 ) -> bool:
-    """Tell whether a worker is in each set of regions; one unknown is in none."""
+    """Return whether a worker is in each set of regions; an unknown region is in
+    none.
+    """
     region = fleet.regions.get(row.domain)
-    return all(region in allowed for allowed in bound)
+    return all(region in allowed for allowed in bounds)
 
 
 def batch_load(row: WorkerRow, now: Millis) -> float:
-    """Return a worker's load in parts of its batch, requests in its queue twice."""
-    told = max(0, row.reported - row.own_inflight_at_report) + row.queued
-    if not told or not row.reported_at:
+    """Return a worker's load as a fraction of its batch; queued requests count
+    twice.
+    """
+    others = max(0, row.reported - row.own_inflight_at_report) + row.queued
+    if not others or not row.reported_at:
         return row.inflight / max(1, row.slots)
     weight: float = 0.5 ** (max(0, now - row.reported_at) / REPORT_HALF_LIFE_MS)
-    return (row.inflight + told * weight) / max(1, row.slots)
+    return (row.inflight + others * weight) / max(1, row.slots)
 
 
-def owner_of(fleet: Fleet, rows: list[WorkerRow], wanted: Wanted) -> WorkerId:
-    """Return which engine boxes agree on for a prompt's shared parts; "" for none.
+def cache_owner(
+    fleet: Fleet, rows: list[WorkerRow], request: PlacementRequest
+) -> WorkerId:
+    """Return the engine that all boxes agree on for a prompt's shared parts; "" for
+    none.
 
-    There is one in all where reading them costs more than another failure domain does,
-    and one in each domain else.
+    If prefill of the shared parts costs more than another failure domain does, there is
+    one owner in all, otherwise one in each domain.
     """
-    effort = wanted.effort
-    if effort is None or not effort.shared:
+    prompt = request.prompt
+    if prompt is None or not prompt.shared_parts:
         return WorkerId("")
-    near = [row.name for row in rows if row.domain == wanted.domain]
-    everywhere = shared_read_ms(fleet, effort) > FAR_AIM_PART * wanted.target_latency_ms
-    names = near if near and not everywhere else [row.name for row in rows]
-    key = part_key(effort.model, effort.shared[-1].name)
+    near = [row.name for row in rows if row.domain == request.domain]
+    across_domains = (
+        shared_prefill_ms(fleet, prompt)
+        > CROSS_DOMAIN_LATENCY_FRACTION * request.target_latency_ms
+    )
+    names = near if near and not across_domains else [row.name for row in rows]
+    key = part_key(prompt.model, prompt.shared_parts[-1].name)
     return WorkerId(rendezvous(key, names, 1)[0])
--- a/src/spanshunt/systems/preferring.py
+++ b/src/spanshunt/systems/preferring.py
@@ -1,7 +1,7 @@
-"""Preference: what was learned of versions, as a plan for one class's requests.
+"""Preferences between versions, computed from evidence for the requests of one class.
 
-A preference holds for all requests of one organisation and class for a second; what is
-allowed and in service is looked up anew for each.
+A preference applies to all requests of one organisation and class for one second.
+Permissions and version states are checked for each request.
 """
 
 import typing as t
@@ -20,63 +20,63 @@
 from ..tables.evidence import Counts
 from ..tables.evidence import Pool
 from ..tables.preferences import PreferenceCache
-from .choice_rows import Asked
+from .choice_rows import VersionRequest
 from .journaling import TOKENS_PER_PRICE
-from .learning import Estimate
-from .learning import estimate
+from .learning import QualityEstimate
+from .learning import estimate_quality
 
-EXPLORE_MOST = 0.20
-"""The largest share of a class's requests spent on learning of a cheaper version."""
+MAX_TRIAL_SHARE = 0.20
+"""Maximum share of a class's requests used for the trial of a cheaper version."""
 
-EXPLORE_LEAST = 0.02
-"""The share spent on it while the version in use is not known to have slack."""
+MIN_TRIAL_SHARE = 0.02
+"""Trial share while the mean of the version in use does not exceed the target."""
 
-CASCADE_MOST = 0.9
-"""A cascade must cost at most this part of asking the dearer version at once."""
+MAX_CASCADE_COST_RATIO = 0.9
+"""Maximum cost of a cascade relative to asking the dearer version directly."""
 
-CONFIDENT = "!sure"
-"""Suffix of the class under which answers are counted that the engine was sure of."""
+CONFIDENT_SUFFIX = "!sure"
+"""Suffix of the class that counts answers in which the engine was confident."""
 
-UNSURE = "!unsure"
-"""Suffix of the class under which the other answers are counted."""
+UNSURE_SUFFIX = "!unsure"
+"""Suffix of the class that counts all other answers."""
 
-_USUAL = Counts(runs=1, prompt_tokens=500, output_tokens=200)
+_DEFAULT_COUNTS = Counts(runs=1, prompt_tokens=500, output_tokens=200)
 
 
-class Worth(msgspec.Struct, frozen=True):
-    """A version, what its answers are worth and what one costs."""
+class VersionAssessment(msgspec.Struct, frozen=True):
+    """A version with its estimated quality and expected cost per answer."""
 
     row: VersionRow
-    estimate: Estimate
+    estimate: QualityEstimate
     cost: float
 
 
 class Preference(msgspec.Struct, frozen=True):
-    """What to do with the requests of one organisation and class.
+    """How to serve the requests of one organisation and class.
 
     Attributes
     ----------
-    main : Worth
-        The version that most get.
-    meets : bool
-        Whether it meets the target with confidence.
-    trial : Worth or None
+    main : VersionAssessment
+        The version that serves most requests.
+    meets_target : bool
+        Whether the lower bound of its quality meets the target.
+    trial : VersionAssessment or None
         A cheaper version on trial.
     trial_share : float
-        The share of requests that it gets.
-    first : Worth or None
+        Share of requests sent to the version on trial.
+    first : VersionAssessment or None
         The version asked first in a cascade.
     """
 
-    main: Worth
-    meets: bool
-    trial: Worth | None = None
+    main: VersionAssessment
+    meets_target: bool
+    trial: VersionAssessment | None = None
     trial_share: float = 0.0
-    first: Worth | None = None
+    first: VersionAssessment | None = None
 
 
 class PreferenceKey(t.NamedTuple):
-    """What a preference depends on, besides the evidence."""
+    """All that a preference depends on, except the evidence."""
 
     service: ServiceId
     request_class: ClassId
@@ -87,99 +87,112 @@
 
 
 Preferences = PreferenceCache[PreferenceKey, Preference]
-"""Preferences worked out in the last second."""
+"""Cache of the preferences computed in the last second."""
 
 
-def target_of(org: OrgRow, service: ServiceRow, name: ClassId) -> float:
+def target_quality(org: OrgRow, service: ServiceRow, name: ClassId) -> float:
     """Return the quality that a class must reach for an organisation."""
     row = service.request_class(name)
     usual = row.target if row is not None else 0.0
     return org.targets.get(f"{service.name}/{name}", usual)
 
 
-def prefer(
+def compute_preference(
     pool: Pool,
-    settled: list[VersionRow],
-    asked: Asked,
+    active: list[VersionRow],
+    request: VersionRequest,
     target: float,
     service: ServiceRow,
 ) -> Preference:
-    """Return what to do with the requests of one organisation and class.
+    """Return how to serve the requests of one organisation and class.
 
-    The cheapest version whose lower bound meets the target is used. A cheaper one whose
-    upper bound meets it goes on trial, for no more requests than the slack of the
-    version in use pays for.
+    The cheapest version whose lower bound meets the target is used. A cheaper version
+    whose upper bound meets the target goes on trial. Its share is limited by how much
+    the quality of the version in use exceeds the target.
     """
-    worths = sorted(
-        (worth_of(pool, row, asked) for row in settled),
-        key=lambda worth: (worth.cost, worth.row.name),
+    versions = sorted(
+        (assess_version(pool, row, request) for row in active),
+        key=lambda version: (version.cost, version.row.name),
     )
-    meeting = [worth for worth in worths if worth.estimate.low >= target]
+    meeting = [version for version in versions if version.estimate.low >= target]
     if meeting:
         main = meeting[0]
     else:
-        main = max(worths, key=lambda worth: (worth.estimate.mean, worth.cost))
-    cheaper = [worth for worth in worths if worth.cost < main.cost]
-    trial = _on_trial(cheaper, target)
+        main = max(versions, key=lambda version: (version.estimate.mean, version.cost))
+    cheaper = [version for version in versions if version.cost < main.cost]
+    trial = _select_trial(cheaper, target)
     share = _trial_share(main, trial, target) if trial is not None else 0.0
-    row = service.request_class(asked.request_class)
+    row = service.request_class(request.request_class)
     first = None
     if row is not None and row.escalate:
-        first = _cascade_first(pool, cheaper, main, asked, target)
+        first = _select_cascade_first(pool, cheaper, main, request, target)
     return Preference(main, bool(meeting), trial, share, first)
 
 
-def worth_of(pool: Pool, row: VersionRow, asked: Asked) -> Worth:
-    """Return what a version's answers are worth to a request, and what one costs."""
-    cell = Cell(VersionId(row.name), asked.request_class, asked.org)
-    return Worth(row, estimate(pool, cell), _cost(pool, row, asked))
+def assess_version(
+    pool: Pool, row: VersionRow, request: VersionRequest
+) -> VersionAssessment:
+    """Return the estimated quality and cost of a version for a request."""
+    cell = Cell(VersionId(row.name), request.request_class, request.org)
+    return VersionAssessment(
+        row, estimate_quality(pool, cell), _expected_cost(pool, row, request)
+    )
 
 
-def _cost(pool: Pool, row: VersionRow, asked: Asked) -> float:
+def _expected_cost(pool: Pool, row: VersionRow, request: VersionRequest) -> float:
     """Return the expected cost of one answer, in millionths of the currency."""
-    pair = (VersionId(row.name), asked.request_class)
-    seen = pool.classes.get(pair, _USUAL)
-    runs = max(1, seen.runs - seen.errors)
-    if seen.output_tokens == 0:
-        seen, runs = _USUAL, 1
-    whole = (
-        seen.prompt_tokens * row.prompt_price + seen.output_tokens * row.output_price
+    pair = (VersionId(row.name), request.request_class)
+    counts = pool.classes.get(pair, _DEFAULT_COUNTS)
+    runs = max(1, counts.runs - counts.errors)
+    if counts.output_tokens == 0:
+        counts, runs = _DEFAULT_COUNTS, 1
+    total = (
+        counts.prompt_tokens * row.prompt_price
+        + counts.output_tokens * row.output_price
     )
-    return whole / TOKENS_PER_PRICE / runs
+    return total / TOKENS_PER_PRICE / runs
 
 
-def _on_trial(cheaper: list[Worth], target: float) -> Worth | None:
-    hopeful = [worth for worth in cheaper if worth.estimate.may_meet(target)]
-    return hopeful[0] if hopeful else None
+def _select_trial(
+    cheaper: list[VersionAssessment], target: float
+) -> VersionAssessment | None:
+    eligible = [version for version in cheaper if version.estimate.may_meet(target)]
+    return eligible[0] if eligible else None
 
 
-def _trial_share(main: Worth, trial: Worth, target: float) -> float:
-    """Return the share of requests that a trial may take.
+def _trial_share(
+    main: VersionAssessment, trial: VersionAssessment, target: float
+) -> float:
+    """Return the share of requests for a version on trial.
 
-    Half of what keeps the mix of both at the target, by their means.
+    It is half the share at which the mean quality of the mix equals the target.
     """
     slack = main.estimate.mean - target
     if slack <= 0:
-        return EXPLORE_LEAST
+        return MIN_TRIAL_SHARE
     loss = max(1e-9, main.estimate.mean - trial.estimate.mean)
-    return max(EXPLORE_LEAST, min(EXPLORE_MOST, 0.5 * slack / loss))
+    return max(MIN_TRIAL_SHARE, min(MAX_TRIAL_SHARE, 0.5 * slack / loss))
 
 
-def _cascade_first(
-    pool: Pool, cheaper: list[Worth], main: Worth, asked: Asked, target: float
-) -> Worth | None:
-    for worth in cheaper:
-        name = VersionId(worth.row.name)
-        sure_class = ClassId(asked.request_class + CONFIDENT)
-        sure = pool.classes.get((name, sure_class), Counts())
+def _select_cascade_first(
+    pool: Pool,
+    cheaper: list[VersionAssessment],
+    main: VersionAssessment,
+    request: VersionRequest,
+    target: float,
+) -> VersionAssessment | None:
+    for version in cheaper:
+        name = VersionId(version.row.name)
+        confident_class = ClassId(request.request_class + CONFIDENT_SUFFIX)
+        confident = pool.classes.get((name, confident_class), Counts())
         unsure = pool.classes.get(
-            (name, ClassId(asked.request_class + UNSURE)), Counts()
+            (name, ClassId(request.request_class + UNSURE_SUFFIX)), Counts()
         )
-        runs = sure.runs + unsure.runs
+        runs = confident.runs + unsure.runs
         if runs == 0:
             continue
-        kept = estimate(pool, Cell(name, sure_class, asked.org))
-        cost = worth.cost + main.cost * unsure.runs / runs
-        if kept.low >= target and cost <= CASCADE_MOST * main.cost:
-            return worth
+        quality = estimate_quality(pool, Cell(name, confident_class, request.org))
+        cost = version.cost + main.cost * unsure.runs / runs
+        if quality.low >= target and cost <= MAX_CASCADE_COST_RATIO * main.cost:
+            return version
     return None
--- a/src/spanshunt/systems/worker_choice.py
+++ b/src/spanshunt/systems/worker_choice.py
@@ -1,4 +1,4 @@
-"""Choice of a worker: lagged reports, corrected by what this box knows exactly."""
+"""Choice of a worker from delayed load reports and this box's own exact counts."""
 
 import random
 import typing as t
@@ -11,43 +11,44 @@
 from ..tables.workers import Workers
 from ..tables.workers import WorkerState
 
-SAMPLE = 3
-"""Workers drawn at random before the least loaded of them is taken."""
+SAMPLE_SIZE = 3
+"""Number of workers drawn at random, of which the least loaded is taken."""
 
-WHOLE_VIEW = 32
-"""Up to this many workers are all looked at; of more, half this many at random."""
+MAX_FULL_SCAN = 32
+"""Maximum number of workers that are all examined. Of more workers, a random sample of
+half this number is examined."""
 
 EJECT_AFTER = 3
-"""Failures in a row that eject a worker."""
+"""Number of consecutive failures after which a worker is ejected."""
 
 EJECT_MS = 5_000
-"""How long the first ejection lasts; each further failure doubles it."""
+"""Duration of the first ejection, in ms. Each further failure doubles it."""
 
 EJECT_MAX_MS = 60_000
-"""The longest ejection."""
+"""Maximum duration of an ejection, in ms."""
 
 _SMOOTHING = 0.2
 _REMOTE_WEIGHT = 0.5
 
 Picker = t.Callable[[list[WorkerRow]], WorkerRow]
-"""Takes one of the workers that may be used; the list is not empty."""
+"""Selects one worker from a non-empty list of usable workers."""
 
 
-def eligible(
+def eligible_workers(
     workers: Workers,
     service: ServiceId,
     version: VersionId | None,
     tried: t.Collection[WorkerId],
     rng: random.Random,
 ) -> list[WorkerRow]:
-    """Return live workers that can answer, less those tried already.
+    """Return the live workers that can answer, except those tried already.
 
-    Of many workers only a random sample is looked at, so that the time taken does not
-    grow with them. When no live one is left, an ejected one is better than none.
+    Of many workers only a random sample is examined, so that the time taken does not
+    grow with their number. If no live worker is left, ejected workers are returned.
     """
     able = workers.find_capable(service, version)
-    if len(able) > WHOLE_VIEW:
-        sample = _usable(workers, rng.sample(able, WHOLE_VIEW // 2), tried)
+    if len(able) > MAX_FULL_SCAN:
+        sample = _usable(workers, rng.sample(able, MAX_FULL_SCAN // 2), tried)
         live = [row for row in sample if row.state is WorkerState.LIVE]
         if live:
             return live
@@ -68,29 +69,30 @@
     ]
 
 
-def load_of(row: WorkerRow) -> float:
-    """Return the worker's estimated load in parts of its batch.
+def estimated_load(row: WorkerRow) -> float:
+    """Return the worker's estimated load, as a fraction of its batch.
 
-    The report counts every box's requests but is old; this box's own requests since
-    are exact. Others' part is taken at half, as some of it has ended by now and each
-    of many boxes would else run from the same old report to the same worker.
+    The report counts the requests of all boxes but is old; this box's own requests are
+    counted exactly. The requests of other boxes count half, because some of them have
+    ended by now, and because many boxes would otherwise pick the same worker from the
+    same old report.
     """
     others = max(0, row.reported - row.own_inflight_at_report)
     return (row.inflight + _REMOTE_WEIGHT * others) / max(1, row.slots)
 
 
-def least_of_sample(rng: random.Random) -> Picker:
-    """Return a picker: the least loaded of a few drawn at random."""
+def least_loaded_picker(rng: random.Random) -> Picker:
+    """Return a picker that takes the least loaded of a few workers drawn at random."""
 
     def pick(rows: list[WorkerRow]) -> WorkerRow:
-        drawn = rng.sample(rows, min(SAMPLE, len(rows)))
-        return min(drawn, key=load_of)
+        drawn = rng.sample(rows, min(SAMPLE_SIZE, len(rows)))
+        return min(drawn, key=estimated_load)
 
     return pick
 
 
-def note_success(row: WorkerRow, ttft_ms: float, token_ms: float) -> None:
-    """Take the times of an answer into the worker's row."""
+def record_success(row: WorkerRow, ttft_ms: float, token_ms: float) -> None:
+    """Record the times of a successful answer in the worker's row."""
     row.failures = 0
     if row.state is WorkerState.EJECTED:
         row.state = WorkerState.LIVE
@@ -98,8 +100,8 @@
     row.token_ms = _smooth(row.token_ms, token_ms)
 
 
-def note_failure(workers: Workers, row: WorkerRow, now: Millis) -> None:
-    """Take a failed request into the worker's row; too many eject it."""
+def record_failure(workers: Workers, row: WorkerRow, now: Millis) -> None:
+    """Record a failed request in the worker's row; eject the worker after too many."""
     row.failures += 1
     if row.failures >= EJECT_AFTER and row.state is not WorkerState.LEAVING:
         doublings = min(row.failures - EJECT_AFTER, 6)
@@ -109,8 +111,8 @@
         row.ejected_until = Millis(now + duration)
 
 
-def let_back(workers: Workers, now: Millis) -> None:
-    """Let ejected workers back whose time is over."""
+def end_ejections(workers: Workers, now: Millis) -> None:
+    """Make workers live again whose ejection has expired."""
     for name in list(workers.ejected):
         row = workers.rows.get(name)
         if row is None or row.state is not WorkerState.EJECTED:
--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -27,7 +27,7 @@
 from spanshunt.standins.store import StoreEndpoint
 from spanshunt.standins.store import StoreStandin
 from spanshunt.standins.worker import WorkerStandin
-from spanshunt.systems.estimating import Effort
+from spanshunt.systems.estimating import Prompt
 from spanshunt.systems.tallies import count_answer
 from spanshunt.tables.catalog import ServiceRow
 from spanshunt.tables.engines import PrefillSpeed
@@ -137,9 +137,9 @@
     )
 
 
-def an_effort(
+def make_prompt(
     model: str = "large", *, read: int = 4_000, shared: int = 3_000, part: str = "p1"
-) -> Effort:
+) -> Prompt:
     """Return what a prompt with one shared part asks of an engine."""
     service = ServiceRow(
         ServiceId("writer"),
@@ -147,7 +147,7 @@
         kv_capacity_tokens=100_000,
     )
     parts = (PromptPart(part, shared),) if shared else ()
-    return Effort(service, ModelId(model), read, parts)
+    return Prompt(service, ModelId(model), read, parts)
 
 
 def learn_speed(
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -6,12 +6,12 @@
 from builders import confirm_of
 from builders import put
 from spanshunt.systems.choice import choose
-from spanshunt.systems.choice_rows import Asked
 from spanshunt.systems.choice_rows import Rule
-from spanshunt.systems.learning import estimate
-from spanshunt.systems.learning import merge
-from spanshunt.systems.learning import news_since
-from spanshunt.systems.learning import observe
+from spanshunt.systems.choice_rows import VersionRequest
+from spanshunt.systems.learning import changes_since
+from spanshunt.systems.learning import estimate_quality
+from spanshunt.systems.learning import merge_counts
+from spanshunt.systems.learning import record_counts
 from spanshunt.tables.evidence import Cell
 from spanshunt.tables.evidence import Counts
 from spanshunt.tables.evidence import Evidence
@@ -20,9 +20,10 @@
 
 def chosen(config, evidence=None, **changes):
     """Choose for the museum's notes."""
-    asked = Asked("redactor-ia", "note", "museo", draw_key="x")
-    asked = Asked(**{name: getattr(asked, name) for name in asked.__struct_fields__}
-                  | changes)  # fmt: skip
+    asked = VersionRequest("redactor-ia", "note", "museo", draw_key="x")
+    asked = VersionRequest(
+        **{name: getattr(asked, name) for name in asked.__struct_fields__} | changes
+    )
     pool = (evidence or Evidence()).pool
     held = {CHEAP, DEAR, "chico@2"} - set(changes.get("away", ()))
     return choose(config, pool, asked, lambda name: name in held, PreferenceCache(), 0)
@@ -32,7 +33,7 @@
     seen = Counts(
         runs=rated, rated=rated, good=good, prompt_tokens=rated, output_tokens=rated
     )
-    observe(evidence, "box", 0, Cell(version, "note", org), seen)
+    record_counts(evidence, "box", 0, Cell(version, "note", org), seen)
 
 
 class TestTargets:
@@ -187,25 +188,25 @@
     def test_merging_twice_counts_once_in_any_order(self):
         one, other = Evidence(), Evidence()
         rated(one, CHEAP, 10, 8)
-        rows, _ = news_since(one, 0, 100)
-        assert merge(other, rows, 0) == 1
-        assert merge(other, rows, 0) == 0
+        rows, _ = changes_since(one, 0, 100)
+        assert merge_counts(other, rows, 0) == 1
+        assert merge_counts(other, rows, 0) == 0
         rated(one, CHEAP, 5, 5)
-        newer, _ = news_since(one, 0, 100)
-        merge(other, newer, 0)
-        merge(other, rows, 0)
+        newer, _ = changes_since(one, 0, 100)
+        merge_counts(other, newer, 0)
+        merge_counts(other, rows, 0)
         assert other.pool.classes[(CHEAP, "note")].rated == 15
 
     def test_organisations_that_agree_share_their_evidence(self):
         evidence = Evidence()
         for org in ("a", "b", "c", "d"):
             rated(evidence, CHEAP, 300, 270, org)
-        few = estimate(evidence.pool, Cell(CHEAP, "note", "museo"))
+        few = estimate_quality(evidence.pool, Cell(CHEAP, "note", "museo"))
         assert few.low > 0.87
 
     def test_organisations_that_differ_do_not(self):
         evidence = Evidence()
         for org, good in (("a", 290), ("b", 150), ("c", 280), ("d", 120)):
             rated(evidence, CHEAP, 300, good, org)
-        few = estimate(evidence.pool, Cell(CHEAP, "note", "museo"))
+        few = estimate_quality(evidence.pool, Cell(CHEAP, "note", "museo"))
         assert few.high - few.low > 0.2
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -22,7 +22,7 @@
 from spanshunt.ids import VersionId
 from spanshunt.records import RolloutStep
 from spanshunt.records import StepVerdict
-from spanshunt.systems.learning import observe
+from spanshunt.systems.learning import record_counts
 from spanshunt.tables.evidence import Cell
 from spanshunt.tables.evidence import Counts
 from spanshunt.tables.state import SuspendedRow
@@ -66,7 +66,9 @@
         rated = good + bad
         counts = Counts(runs=rated, rated=rated, good=good)
         cell = Cell(NEW, "note", "museo")
-        observe(self.state.evidence, self.state.identity.incarnation, 0, cell, counts)
+        record_counts(
+            self.state.evidence, self.state.identity.incarnation, 0, cell, counts
+        )
 
     def shut_out(self, reason: str) -> None:
         self.state.suspended[NEW] = SuspendedRow(self.rollout, 0, reason, Millis(0))
--- a/tests/test_estimating.py
+++ b/tests/test_estimating.py
@@ -7,29 +7,29 @@
 from hypothesis import strategies as st
 
 from fleet_builders import add_worker
-from fleet_builders import an_effort
 from fleet_builders import learn_speed
 from fleet_builders import make_fleet
+from fleet_builders import make_prompt
 from fleet_builders import make_worker
 from fleet_builders import ms
 from spanshunt.ids import BoxId
 from spanshunt.ids import DomainId
 from spanshunt.ids import ModelId
 from spanshunt.ids import ServiceId
-from spanshunt.systems.estimating import TOLD_FOR_MS
-from spanshunt.systems.estimating import URGENCY_LEAST
-from spanshunt.systems.estimating import Estimate
-from spanshunt.systems.estimating import estimate_first
-from spanshunt.systems.estimating import forget_told
-from spanshunt.systems.estimating import newest_reads
-from spanshunt.systems.estimating import note_first_event
-from spanshunt.systems.estimating import note_prompt
-from spanshunt.systems.estimating import speed_of
-from spanshunt.systems.estimating import take_read
-from spanshunt.systems.estimating import take_speed
+from spanshunt.systems.estimating import LOWEST_URGENCY
+from spanshunt.systems.estimating import REPORT_PREFILL_FOR_MS
+from spanshunt.systems.estimating import FirstEventEstimate
+from spanshunt.systems.estimating import apply_peer_prefill
+from spanshunt.systems.estimating import estimate_first_event
+from spanshunt.systems.estimating import expire_peer_prefill
+from spanshunt.systems.estimating import merge_prefill_speed
+from spanshunt.systems.estimating import prefill_speed
+from spanshunt.systems.estimating import record_first_event
+from spanshunt.systems.estimating import record_sent_prompt
+from spanshunt.systems.estimating import reportable_prefills
 from spanshunt.systems.estimating import urgency_of
-from spanshunt.systems.placing import Wanted
-from spanshunt.systems.placing import place
+from spanshunt.systems.placing import PlacementRequest
+from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.tables.engines import PrefillSpeed
 from spanshunt.tables.engines import PromptPart
@@ -45,9 +45,9 @@
     return fleet, row
 
 
-def answer(fleet, row, effort, first_ms, now):
-    expected = estimate_first(fleet, row, effort, ms(now), owner=False)
-    note_first_event(fleet, row, effort, expected, first_ms, ms(now))
+def answer(fleet, row, prompt, first_ms, now):
+    expected = estimate_first_event(fleet, row, prompt, ms(now), owner=False)
+    record_first_event(fleet, row, prompt, expected, first_ms, ms(now))
 
 
 @given(
@@ -61,20 +61,22 @@
     read, shared, waiting, told, now
 ):
     fleet, row = a_fleet()
-    effort = an_effort(read=read, shared=min(read, shared))
-    idle = estimate_first(fleet, row, effort, now, owner=False)
+    prompt = make_prompt(read=read, shared=min(read, shared))
+    idle = estimate_first_event(fleet, row, prompt, now, owner=False)
     row.prefill_ms = waiting
     row.peer_prefill_ms[BoxId("box-2")] = (told, ms(0))
-    busy = estimate_first(fleet, row, effort, now, owner=False)
+    busy = estimate_first_event(fleet, row, prompt, now, owner=False)
     assert 0.0 <= idle.first_ms <= busy.first_ms
-    assert busy.own_ms == waiting
+    assert busy.own_wait_ms == waiting
 
 
 @given(st.integers(0, 40_000), st.integers(0, 40_000))
 def test_estimate_grows_with_what_is_to_be_read(one, other):
     fleet, row = a_fleet()
     found = [
-        estimate_first(fleet, row, an_effort(read=read, shared=0), ms(0), owner=False)
+        estimate_first_event(
+            fleet, row, make_prompt(read=read, shared=0), ms(0), owner=False
+        )
         for read in sorted((one, other))
     ]
     assert found[0].read_ms <= found[1].read_ms
@@ -82,10 +84,10 @@
 
 def test_kept_prompt_is_not_read_again():
     fleet, row = a_fleet()
-    effort = an_effort(read=4_000, shared=3_000)
-    cold = estimate_first(fleet, row, effort, ms(0), owner=False)
-    note_prompt(fleet, row, effort, OWN, ms(0))
-    warm = estimate_first(fleet, row, effort, ms(0), owner=False)
+    prompt = make_prompt(read=4_000, shared=3_000)
+    cold = estimate_first_event(fleet, row, prompt, ms(0), owner=False)
+    record_sent_prompt(fleet, row, prompt, OWN, ms(0))
+    warm = estimate_first_event(fleet, row, prompt, ms(0), owner=False)
     assert (cold.unread, warm.unread) == (4_000, 1_000)
 
 
@@ -95,42 +97,42 @@
     fleet, row = a_fleet(read_ms=0.05)
     rng = random.Random(3)
     for number in range(40):
-        effort = an_effort(read=rng.randint(2_000, 20_000), shared=0)
-        first_ms = 10.0 + 0.05 * factor * effort.read * rng.uniform(0.9, 1.2)
+        prompt = make_prompt(read=rng.randint(2_000, 20_000), shared=0)
+        first_ms = 10.0 + 0.05 * factor * prompt.read * rng.uniform(0.9, 1.2)
         row.unreported_prefill_ms = 0.0
-        answer(fleet, row, effort, first_ms, number)
-    speed = speed_of(fleet, effort.service, effort.model)
+        answer(fleet, row, prompt, first_ms, number)
+    speed = prefill_speed(fleet, prompt.service, prompt.model)
     assert speed.read_ms == pytest.approx(0.05 * factor, rel=0.25)
 
 
 def test_wait_that_nobody_told_of_does_not_count_as_slow_reading():
     fleet, row = a_fleet(read_ms=0.05)
-    effort = an_effort(read=4_000, shared=0)
+    prompt = make_prompt(read=4_000, shared=0)
     rng = random.Random(5)
     for number in range(200):
         row.unreported_prefill_ms = 0.0
         late = 900.0 if rng.random() < 0.25 else 0.0
-        answer(fleet, row, effort, 210.0 + late, number)
-    speed = speed_of(fleet, effort.service, effort.model)
+        answer(fleet, row, prompt, 210.0 + late, number)
+    speed = prefill_speed(fleet, prompt.service, prompt.model)
     assert speed.read_ms * 4_000 + speed.base_ms == pytest.approx(210.0, rel=0.3)
 
 
 def test_late_answer_tells_of_others_and_is_forgotten():
     fleet, row = a_fleet()
-    effort = an_effort(read=2_000, shared=0)
-    answer(fleet, row, effort, 1_500.0, 1)
-    soon = estimate_first(fleet, row, effort, ms(1), owner=False)
-    later = estimate_first(fleet, row, effort, ms(9), owner=False)
-    assert soon.others_ms > 500.0
-    assert later.others_ms < 50.0
+    prompt = make_prompt(read=2_000, shared=0)
+    answer(fleet, row, prompt, 1_500.0, 1)
+    soon = estimate_first_event(fleet, row, prompt, ms(1), owner=False)
+    later = estimate_first_event(fleet, row, prompt, ms(9), owner=False)
+    assert soon.others_wait_ms > 500.0
+    assert later.others_wait_ms < 50.0
 
 
 def test_what_a_peer_has_waiting_runs_off_by_itself():
     fleet, row = a_fleet()
     row.peer_prefill_ms[BoxId("box-2")] = (800.0, ms(1))
-    effort = an_effort()
+    prompt = make_prompt()
     waits = [
-        estimate_first(fleet, row, effort, ms(at), owner=False).wait_ms
+        estimate_first_event(fleet, row, prompt, ms(at), owner=False).wait_ms
         for at in (1, 1.5, 2)
     ]
     assert waits == [800.0, 300.0, 0.0]
@@ -139,67 +141,72 @@
 def test_what_a_box_told_that_is_gone_is_forgotten():
     fleet, row = a_fleet()
     row.peer_prefill_ms[BoxId("gone")] = (800.0, ms(1))
-    forget_told(fleet, ms(1.5))
+    expire_peer_prefill(fleet, ms(1.5))
     assert row.peer_prefill_ms
-    forget_told(fleet, ms(2))
+    expire_peer_prefill(fleet, ms(2))
     assert not row.peer_prefill_ms
 
 
 def test_model_not_met_yet_is_slower_as_it_is_dearer():
     fleet, _ = a_fleet(read_ms=None)
-    effort = an_effort("large")
-    assert speed_of(fleet, effort.service, effort.model).read_ms == 0.0
+    prompt = make_prompt("large")
+    assert prefill_speed(fleet, prompt.service, prompt.model).read_ms == 0.0
     learn_speed(fleet, "small", read_ms=0.01)
-    assert speed_of(fleet, effort.service, effort.model).read_ms == pytest.approx(0.2)
+    assert prefill_speed(fleet, prompt.service, prompt.model).read_ms == pytest.approx(
+        0.2
+    )
 
 
 def test_boxes_come_to_agree_on_a_speed_and_a_new_one_takes_it_over():
     fleet, _ = a_fleet(read_ms=0.1)
     key = (ServiceId("writer"), ModelId("large"))
     for _ in range(30):
-        take_speed(fleet, *key, PrefillSpeed(0.2, 30.0))
+        merge_prefill_speed(fleet, *key, PrefillSpeed(0.2, 30.0))
     assert fleet.prefill_speeds[key].read_ms == pytest.approx(0.2, rel=0.05)
     fresh = make_fleet()
-    take_speed(fresh, *key, PrefillSpeed(0.2, 30.0))
+    merge_prefill_speed(fresh, *key, PrefillSpeed(0.2, 30.0))
     assert fresh.prefill_speeds[key].read_ms == 0.2
 
 
 def test_prompt_read_elsewhere_is_known_where_it_was_told():
     fleet, row = a_fleet()
-    effort = an_effort(read=4_000, shared=3_000)
-    note_prompt(fleet, row, effort, OWN, ms(1))
-    (told,) = newest_reads(fleet, ms(1))
+    prompt = make_prompt(read=4_000, shared=3_000)
+    record_sent_prompt(fleet, row, prompt, OWN, ms(1))
+    (told,) = reportable_prefills(fleet, ms(1))
     other, other_row = a_fleet()
-    take_read(other, told)
-    found = estimate_first(other, other_row, effort, ms(1), owner=False)
+    apply_peer_prefill(other, told)
+    found = estimate_first_event(other, other_row, prompt, ms(1), owner=False)
     assert found.unread == 1_000
-    assert newest_reads(fleet, ms(1) + TOLD_FOR_MS) == ()
+    assert reportable_prefills(fleet, ms(1) + REPORT_PREFILL_FOR_MS) == ()
 
 
 def test_prompts_quick_to_read_are_not_told():
     fleet, row = a_fleet(read_ms=0.001)
-    note_prompt(fleet, row, an_effort(), OWN, ms(1))
-    assert newest_reads(fleet, ms(1)) == ()
+    record_sent_prompt(fleet, row, make_prompt(), OWN, ms(1))
+    assert reportable_prefills(fleet, ms(1)) == ()
 
 
 def test_owner_that_boxes_agree_on_is_believed_as_often_as_it_was_right():
     fleet, row = a_fleet()
-    effort = an_effort(read=4_000, shared=3_000)
+    prompt = make_prompt(read=4_000, shared=3_000)
     for number in range(60):
         row.unreported_prefill_ms = 0.0
         row.kept.parts.clear()
-        expected = estimate_first(fleet, row, effort, ms(number), owner=True)
+        expected = estimate_first_event(fleet, row, prompt, ms(number), owner=True)
         assert expected.unseen
-        note_first_event(fleet, row, effort, expected, 110.0, ms(number))
-    found = estimate_first(fleet, row, effort, ms(99), owner=True)
+        record_first_event(fleet, row, prompt, expected, 110.0, ms(number))
+    found = estimate_first_event(fleet, row, prompt, ms(99), owner=True)
     assert found.unread < 1_300
 
 
 def test_what_is_read_sooner_is_more_urgent():
-    steps = [urgency_of(Estimate(read_ms=read), 4_000) for read in (5, 50, 500, 5_000)]
+    steps = [
+        urgency_of(FirstEventEstimate(read_ms=read), 4_000)
+        for read in (5, 50, 500, 5_000)
+    ]
     assert steps == sorted(steps)
     assert len(set(steps)) == 4
-    assert steps[-1] == URGENCY_LEAST
+    assert steps[-1] == LOWEST_URGENCY
 
 
 @pytest.mark.parametrize("boxes", [6, 91])
@@ -210,13 +217,13 @@
         learn_speed(fleet, "large", read_ms=0.1)
         for name in "abcdef":
             add_worker(fleet, make_worker(name))
-        wanted = Wanted(
+        wanted = PlacementRequest(
             service=ServiceId("writer"),
             rule=VersionRule(),
             domain=DomainId("north"),
-            effort=an_effort(shared=0),
+            prompt=make_prompt(shared=0),
             target_latency_ms=ms(2),
         )
-        placed = place(fleet, wanted, ms(1), random.Random(number))
+        placed = choose_worker(fleet, wanted, ms(1), random.Random(number))
         taken[placed.worker.name] = taken.get(placed.worker.name, 0) + 1
     assert max(taken.values()) <= max(3, 0.35 * boxes)
--- a/tests/test_evacuating.py
+++ b/tests/test_evacuating.py
@@ -23,8 +23,8 @@
 from spanshunt.systems.evacuating import is_emptied
 from spanshunt.systems.evacuating import take_absent
 from spanshunt.systems.evacuating import take_evacuation
-from spanshunt.systems.placing import Wanted
-from spanshunt.systems.placing import place
+from spanshunt.systems.placing import PlacementRequest
+from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.systems.warming import is_cold
 from spanshunt.tables.fleet import EvacuationRow
@@ -46,8 +46,8 @@
 
 
 def chosen(fleet: Fleet) -> str | None:
-    wanted = Wanted(ServiceId("writer"), VersionRule(), NORTH)
-    found = place(fleet, wanted, ms(1), seeded())
+    wanted = PlacementRequest(ServiceId("writer"), VersionRule(), NORTH)
+    found = choose_worker(fleet, wanted, ms(1), seeded())
     return found.worker.name if found is not None else None
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -20,7 +20,7 @@
 from spanshunt.standins.log import LogFaults
 from spanshunt.standins.service import ServiceFaults
 from spanshunt.systems.fold import snapshot_of
-from spanshunt.systems.learning import observe
+from spanshunt.systems.learning import record_counts
 from spanshunt.tables.evidence import Cell
 from spanshunt.tables.evidence import Counts
 
@@ -348,7 +348,7 @@
             (DEAR, "note", counts),
         ):
             cell = Cell(version, name, "museo")
-            observe(router.state.evidence, "x", router.clock.wall(), cell, seen)
+            record_counts(router.state.evidence, "x", router.clock.wall(), cell, seen)
         router.preferences.clear()
         for engine in system.engines:
             engine.faults = EngineFaults(confidence={CHEAP: confidence})
--- a/tests/test_guarding.py
+++ b/tests/test_guarding.py
@@ -8,7 +8,7 @@
 from builders import put
 from spanshunt.records import StepVerdict
 from spanshunt.systems.guarding import judge
-from spanshunt.systems.learning import observe
+from spanshunt.systems.learning import record_counts
 from spanshunt.systems.limiting import OverLimit
 from spanshunt.systems.limiting import admit
 from spanshunt.systems.limiting import finish
@@ -60,7 +60,7 @@
 
     def add_counts(self, evidence: Evidence, name: str = "note", **counts: int) -> None:
         cell = Cell("chico@2", name, "museo")
-        observe(evidence, "box", 0, cell, Counts(**counts))
+        record_counts(evidence, "box", 0, cell, Counts(**counts))
 
     def verdict(self, config, row, evidence, at: int = 100_000):
         step = judge(config, row, evidence, "box", at)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 
 from spanshunt.ids import ModelId
-from spanshunt.systems.keeping import PARTS_MOST
-from spanshunt.systems.keeping import kept_tokens
-from spanshunt.systems.keeping import note_read
+from spanshunt.systems.keeping import MAX_CACHED_PARTS
+from spanshunt.systems.keeping import cached_tokens
+from spanshunt.systems.keeping import record_prefill
 from spanshunt.tables.engines import PromptCache
 from spanshunt.tables.engines import PromptPart
 
@@ -16,23 +16,25 @@
 
 def test_part_counts_only_with_every_part_before_it():
     kept = PromptCache()
-    note_read(kept, LARGE, [LEAF], 0.0)
-    assert kept_tokens(kept, LARGE, [ROOT, LEAF]) == 0
-    note_read(kept, LARGE, [ROOT, LEAF], 0.0)
-    assert kept_tokens(kept, LARGE, [ROOT, LEAF]) == 1_000
+    record_prefill(kept, LARGE, [LEAF], 0.0)
+    assert cached_tokens(kept, LARGE, [ROOT, LEAF]) == 0
+    record_prefill(kept, LARGE, [ROOT, LEAF], 0.0)
+    assert cached_tokens(kept, LARGE, [ROOT, LEAF]) == 1_000
 
 
 def test_each_model_reads_for_itself():
     kept = PromptCache()
-    note_read(kept, SMALL, [ROOT], 0.0)
-    assert kept_tokens(kept, LARGE, [ROOT]) == 0
+    record_prefill(kept, SMALL, [ROOT], 0.0)
+    assert cached_tokens(kept, LARGE, [ROOT]) == 0
 
 
 def test_longest_unused_part_gives_way_first():
     kept = PromptCache()
     for name in ("a", "b", "a", "c"):
-        note_read(kept, LARGE, [PromptPart(name, 400)], 1_000.0)
-    found = [name for name in "abc" if kept_tokens(kept, LARGE, [PromptPart(name, 1)])]
+        record_prefill(kept, LARGE, [PromptPart(name, 400)], 1_000.0)
+    found = [
+        name for name in "abc" if cached_tokens(kept, LARGE, [PromptPart(name, 1)])
+    ]
     assert found == ["a", "c"]
 
 
@@ -45,7 +47,7 @@
 def test_memory_is_bounded_and_its_sum_is_right(given_reads, capacity):
     kept = PromptCache()
     for name, tokens in given_reads:
-        note_read(kept, LARGE, [PromptPart(str(name), tokens)], capacity)
+        record_prefill(kept, LARGE, [PromptPart(str(name), tokens)], capacity)
         assert kept.tokens == sum(kept.parts.values())
-        assert len(kept.parts) <= PARTS_MOST
+        assert len(kept.parts) <= MAX_CACHED_PARTS
         assert not capacity or kept.tokens <= capacity
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -3,9 +3,9 @@
 import collections
 
 from fleet_builders import add_worker
-from fleet_builders import an_effort
 from fleet_builders import learn_speed
 from fleet_builders import make_fleet
+from fleet_builders import make_prompt
 from fleet_builders import make_worker
 from fleet_builders import ms
 from fleet_builders import seeded
@@ -13,11 +13,11 @@
 from spanshunt.ids import DomainId
 from spanshunt.ids import ServiceId
 from spanshunt.ids import VersionId
-from spanshunt.systems.estimating import Effort
-from spanshunt.systems.placing import Wanted
+from spanshunt.systems.estimating import Prompt
+from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import batch_load
-from spanshunt.systems.placing import owner_of
-from spanshunt.systems.placing import place
+from spanshunt.systems.placing import cache_owner
+from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.systems.worker_health import Load
 from spanshunt.systems.worker_health import note_answer
@@ -29,7 +29,7 @@
 
 
 def wanted(**changes):
-    return Wanted(
+    return PlacementRequest(
         **{
             "service": ServiceId("writer"),
             "rule": ANY,
@@ -43,7 +43,7 @@
     rng = seeded()
     found = collections.Counter()
     for _ in range(50):
-        placed = place(fleet, wanted(**changes), now, rng)
+        placed = choose_worker(fleet, wanted(**changes), now, rng)
         found[placed.worker.name if placed else ""] += 1
     return found
 
@@ -70,18 +70,18 @@
     assert set(chosen(fleet)) == {"far"}
 
 
-def prompt(read: int = 4_000, shared: int = 3_000) -> Effort:
-    return an_effort(read=read, shared=shared)
+def long_prompt(read: int = 4_000, shared: int = 3_000) -> Prompt:
+    return make_prompt(read=read, shared=shared)
 
 
 def test_prompt_memory_draws_to_one_worker_unless_it_is_busy():
     fleet = fleet_of("a", "b", "c")
     learn_speed(fleet, "large", read_ms=0.1)
-    found = chosen(fleet, effort=prompt(), target_latency_ms=ms(2))
+    found = chosen(fleet, prompt=long_prompt(), target_latency_ms=ms(2))
     assert len(found) == 1
     owner = next(iter(found))
     fleet.workers.rows[owner].prefill_ms = 400.0
-    assert owner not in chosen(fleet, effort=prompt(), target_latency_ms=ms(2))
+    assert owner not in chosen(fleet, prompt=long_prompt(), target_latency_ms=ms(2))
 
 
 def test_prompts_dear_to_read_have_one_owner_in_all_and_others_one_a_domain():
@@ -95,10 +95,10 @@
         learn_speed(fleet, "large", read_ms=read_ms)
         rows = list(fleet.workers.rows.values())
         asked = [
-            wanted(effort=an_effort(part=str(n)), target_latency_ms=ms(2))
+            wanted(prompt=make_prompt(part=str(n)), target_latency_ms=ms(2))
             for n in range(40)
         ]
-        owners[read_ms] = {owner_of(fleet, rows, one) for one in asked}
+        owners[read_ms] = {cache_owner(fleet, rows, one) for one in asked}
     assert owners[0.001] == {"n1", "n2"}
     assert owners[0.5] == set(names)
 
@@ -106,10 +106,10 @@
 def test_prompt_goes_where_less_waits_though_boxes_agree_on_another():
     fleet = fleet_of("a", "b")
     learn_speed(fleet, "large", read_ms=0.1)
-    owner = next(iter(chosen(fleet, effort=prompt(), target_latency_ms=ms(2))))
+    owner = next(iter(chosen(fleet, prompt=long_prompt(), target_latency_ms=ms(2))))
     other = ({"a", "b"} - {owner}).pop()
     fleet.workers.rows[owner].peer_prefill_ms[BoxId("box-2")] = (900.0, ms(0))
-    assert set(chosen(fleet, effort=prompt(), target_latency_ms=ms(2))) == {other}
+    assert set(chosen(fleet, prompt=long_prompt(), target_latency_ms=ms(2))) == {other}
 
 
 def test_leaving_workers_get_nothing_even_when_no_other_is_left():
@@ -167,5 +167,5 @@
 
 def test_worker_tried_already_is_taken_again_only_where_that_is_allowed():
     fleet = fleet_of("a")
-    assert set(chosen(fleet, avoid={"a"})) == {""}
-    assert set(chosen(fleet, avoid={"a"}, again=True)) == {"a"}
+    assert set(chosen(fleet, tried={"a"})) == {""}
+    assert set(chosen(fleet, tried={"a"}, allow_tried=True)) == {"a"}
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -32,8 +32,8 @@
 from spanshunt.peers.news_rows import suspects_news
 from spanshunt.peers.news_rows import told_suspect
 from spanshunt.standins.worker import WorkerStandin
-from spanshunt.systems.placing import Wanted
-from spanshunt.systems.placing import place
+from spanshunt.systems.placing import PlacementRequest
+from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.quarantining import KEPT_MS
 from spanshunt.systems.quarantining import SUSPECTS_MOST
 from spanshunt.systems.quarantining import due_drops
@@ -337,11 +337,14 @@
     for name in ("a", "b", "c"):
         add_worker(fleet, make_worker(name))
     fleet.workers.rows[WorkerId("c")].inflight = 6
-    wanted = Wanted(
-        ServiceId("writer"), VersionRule(), DomainId("north"), apart={WorkerId("a")}
+    wanted = PlacementRequest(
+        ServiceId("writer"),
+        VersionRule(),
+        DomainId("north"),
+        workers_with_suspects={WorkerId("a")},
     )
     rng = seeded()
-    found = {place(fleet, wanted, ms(0), rng).worker.name for _ in range(20)}
+    found = {choose_worker(fleet, wanted, ms(0), rng).worker.name for _ in range(20)}
     assert found == {"b"}
 
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -17,8 +17,8 @@
 from spanshunt.platform.wire import decode_catalog
 from spanshunt.systems.admitting import Asked
 from spanshunt.systems.admitting import admit
-from spanshunt.systems.placing import Wanted
-from spanshunt.systems.placing import place
+from spanshunt.systems.placing import PlacementRequest
+from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
 
 HERE, ABROAD = RegionId("here"), RegionId("abroad")
@@ -34,14 +34,14 @@
     add_worker(fleet, make_worker("w-north")).inflight = 7
     add_worker(fleet, make_worker("w-south", domain="south"))
     add_worker(fleet, make_worker("w-lost", domain="nobody knows it"))
-    wanted = Wanted(
+    wanted = PlacementRequest(
         ServiceId("writer"),
         VersionRule(),
         DomainId("east"),
-        avoid=["w-lost"],
+        tried=["w-lost"],
         regions=regions,
     )
-    found = place(fleet, wanted, ms(1), seeded())
+    found = choose_worker(fleet, wanted, ms(1), seeded())
     return found.worker.name if found is not None else None
 
 
@@ -60,14 +60,14 @@
 def test_domain_whose_region_is_not_known_is_in_none():
     fleet = make_fleet()
     add_worker(fleet, make_worker("w-lost", domain="nobody knows it"))
-    wanted = Wanted(
+    wanted = PlacementRequest(
         ServiceId("writer"),
         VersionRule(),
         fleet.identity.domain,
-        again=True,
+        allow_tried=True,
         regions=(homes("here"),),
     )
-    assert place(fleet, wanted, ms(1), seeded()) is None
+    assert choose_worker(fleet, wanted, ms(1), seeded()) is None
 
 
 def test_catalog_tells_the_regions():
--- a/tests/test_resting.py
+++ b/tests/test_resting.py
@@ -18,8 +18,8 @@
 from spanshunt.standins.worker import WorkerFault
 from spanshunt.systems.following_workers import ListedWorker
 from spanshunt.systems.following_workers import take_list
-from spanshunt.systems.placing import Wanted
-from spanshunt.systems.placing import place
+from spanshunt.systems.placing import PlacementRequest
+from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.systems.resting import note_rest
 from spanshunt.systems.resting import rest_left_ms
@@ -129,6 +129,8 @@
     row = add_worker(fleet, make_worker("w-1"))
     row.limit = RateLimit(1_000.0, ms(1), fleet.identity.box)
     note_rest(row, Millis(3_000), ms(1))
-    wanted = Wanted(ServiceId("writer"), VersionRule(), DomainId("north"), again=True)
-    assert place(fleet, wanted, ms(3.9), seeded()) is None
-    assert place(fleet, wanted, ms(4.1), seeded()) is not None
+    wanted = PlacementRequest(
+        ServiceId("writer"), VersionRule(), DomainId("north"), allow_tried=True
+    )
+    assert choose_worker(fleet, wanted, ms(3.9), seeded()) is None
+    assert choose_worker(fleet, wanted, ms(4.1), seeded()) is not None
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -13,8 +13,8 @@
 from spanshunt.ids import DomainId
 from spanshunt.ids import ServiceId
 from spanshunt.ids import WorkerId
-from spanshunt.systems.placing import Wanted
-from spanshunt.systems.placing import candidates
+from spanshunt.systems.placing import PlacementRequest
+from spanshunt.systems.placing import candidate_workers
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.systems.silence import COUNTS_LEAST_PART
 from spanshunt.systems.silence import COUNTS_MS
@@ -97,8 +97,10 @@
 )
 def test_silent_workers_are_used_only_where_no_other_is_left(silent, left):
     fleet = a_fleet()
-    wanted = Wanted(ServiceId("web"), VersionRule(), DomainId("north"), silent=silent)
-    assert {row.name for row in candidates(fleet, wanted, ms(1))} == left
+    wanted = PlacementRequest(
+        ServiceId("web"), VersionRule(), DomainId("north"), silent=silent
+    )
+    assert {row.name for row in candidate_workers(fleet, wanted, ms(1))} == left
 
 
 class At(Clock):
--- a/tests/test_throttling.py
+++ b/tests/test_throttling.py
@@ -9,9 +9,9 @@
 from loguru import logger
 
 from fleet_builders import add_worker
-from fleet_builders import an_effort
 from fleet_builders import learn_speed
 from fleet_builders import make_fleet
+from fleet_builders import make_prompt
 from fleet_builders import make_worker
 from fleet_builders import ms
 from fleet_builders import running_fleet
@@ -27,8 +27,8 @@
 from spanshunt.peers.news_rows import limits_news
 from spanshunt.platform.wire import decode_rate
 from spanshunt.systems.ending import note_end
-from spanshunt.systems.placing import Wanted
-from spanshunt.systems.placing import place
+from spanshunt.systems.placing import PlacementRequest
+from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.systems.throttling import grant_wait_ms
 from spanshunt.systems.throttling import is_limited
@@ -205,20 +205,20 @@
     assert served["tag"] > 0.25 * sum(served.values()) / len(served)
 
 
-@pytest.mark.parametrize("effort", [None, an_effort()])
-def test_open_grant_is_used_before_a_free_worker_of_this_domain(effort):
+@pytest.mark.parametrize("prompt", [None, make_prompt()])
+def test_open_grant_is_used_before_a_free_worker_of_this_domain(prompt):
     fleet, row = limited(per_s=1.7, at_s=0.0)
     row.domain = DomainId("south")
     add_worker(fleet, make_worker("w-2"))
     learn_speed(fleet, "large", read_ms=0.01)
-    wanted = Wanted(
+    wanted = PlacementRequest(
         ServiceId("writer"),
         VersionRule(),
         DomainId("north"),
-        effort=effort,
+        prompt=prompt,
         target_latency_ms=Millis(1_500),
     )
-    placed = place(fleet, wanted, ms(0.1), seeded())
+    placed = choose_worker(fleet, wanted, ms(0.1), seeded())
     assert placed is not None
     assert placed.worker is row
 
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -39,8 +39,8 @@
 from spanshunt.systems.following_workers import ListedWorker
 from spanshunt.systems.following_workers import list_digest
 from spanshunt.systems.following_workers import take_list
-from spanshunt.systems.placing import Wanted
-from spanshunt.systems.placing import place
+from spanshunt.systems.placing import PlacementRequest
+from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.systems.warming import is_cold
 from spanshunt.systems.warming import may_send_to
@@ -211,11 +211,11 @@
     cold = cold_worker(fleet)
     warm = add_worker(fleet, make_worker("w-2", domain="south"))
     warm.inflight = 7
-    wanted = Wanted(ServiceId("writer"), VersionRule(), fleet.identity.domain)
-    first = place(fleet, wanted, ms(1), seeded())
+    wanted = PlacementRequest(ServiceId("writer"), VersionRule(), fleet.identity.domain)
+    first = choose_worker(fleet, wanted, ms(1), seeded())
     assert first is not None and first.worker is cold
     note_sent(cold, ms(1))
-    second = place(fleet, wanted, ms(1.1), seeded())
+    second = choose_worker(fleet, wanted, ms(1.1), seeded())
     assert second is not None and second.worker is warm
 
 
