--- a/src/spanshunt/catalog_state.py
+++ b/src/spanshunt/catalog_state.py
@@ -43,7 +43,7 @@
     rule : VersionRule
         Which versions might answer, and why.
     prompt : Prompt or None
-        What its prompt asks of the engine; None for plain requests.
+        The prompt that the engine processes; None for plain requests.
     expected : FirstEventEstimate
         What it was expected to meet there.
     passed_over : tuple of str
--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -140,7 +140,7 @@
 def make_prompt(
     model: str = "large", *, read: int = 4_000, shared: int = 3_000, part: str = "p1"
 ) -> Prompt:
-    """Return what a prompt with one shared part asks of an engine."""
+    """Return a prompt with one shared part."""
     service = ServiceRow(
         ServiceId("writer"),
         {ModelId("small"): 0.01, ModelId("middle"): 0.1, ModelId("large"): 0.2},
--- a/tests/test_cascading.py
+++ b/tests/test_cascading.py
@@ -1,4 +1,4 @@
-"""Choice of a model by value, price and how soon larger answers come."""
+"""Choice of a model by answer value, price and latency of the larger model."""
 
 import msgspec
 import pytest
@@ -24,8 +24,8 @@
 from spanshunt.systems.estimating import FirstEventEstimate
 
 
-def parts(rank: int = 1):
-    routes = [{**config()["Routes"][0], "Priority": rank}]
+def make_catalog_rows(priority: int = 1):
+    routes = [{**config()["Routes"][0], "Priority": priority}]
     raw = msgspec.json.encode(config(Routes=routes))
     catalog = decode_catalog(raw).ok_value
     return catalog.routes[0], catalog.services[ServiceId("writer")]
@@ -34,15 +34,15 @@
 IDLE = EscalationProspect(FirstEventEstimate(read_ms=100.0))
 
 
-def test_smallest_is_asked_first_as_its_sureness_tells_good_answers_from_bad():
-    route, service = parts(rank=0)
+def test_smallest_model_is_asked_first_if_confidence_predicts_quality():
+    route, service = make_catalog_rows(priority=0)
     tokens = RequestTokens(200, 300)
     model_plan = plan_models(make_fleet(), route, service, tokens, IDLE)
     assert model_plan.first == "small"
     assert model_plan.needed > 0.7
 
 
-def test_sureness_and_likelihood_are_inverse_and_grow():
+def test_confidence_and_probability_are_inverse_and_increasing():
     for needed in (0.05, 0.3, 0.5, 0.8, 0.95):
         assert probability_good(confidence_for_probability(needed)) == pytest.approx(
             needed
@@ -52,12 +52,12 @@
 
 
 @given(st.floats(-0.5, 1.5), st.floats(-0.5, 1.5))
-def test_surer_answers_are_likelier_good(one, other):
+def test_probability_of_a_good_answer_grows_with_confidence(one, other):
     low, high = sorted((one, other))
     assert 0.0 <= probability_good(low) <= probability_good(high) <= 1.0
 
 
-def test_models_goodness_is_learned_from_what_their_opinions_mean():
+def test_expected_quality_is_learned_from_confidence():
     fleet = make_fleet()
     for _ in range(300):
         record_confidence(fleet, ModelId("large"), 0.8)
@@ -66,46 +66,52 @@
     assert expected_quality(fleet, ModelId("small")) < 0.1
 
 
-def test_requests_of_low_rank_are_asked_of_the_smallest():
-    route, service = parts(rank=2)
+def test_requests_of_low_priority_go_to_the_smallest_model():
+    route, service = make_catalog_rows(priority=2)
     tokens = RequestTokens(2_400, 22)
     model_plan = plan_models(make_fleet(), route, service, tokens, IDLE)
     assert model_plan.first == "small"
     assert model_plan.needed < 0.7
 
 
-def test_worth_follows_from_prices_alone():
-    """A deployment whose prices are ten times as high decides alike."""
-    route, service = parts()
-    dear = msgspec.structs.replace(
+def test_answer_value_depends_on_relative_prices_only():
+    """A deployment with ten times the prices makes the same decisions."""
+    route, service = make_catalog_rows()
+    expensive = msgspec.structs.replace(
         service, costs={name: 10 * price for name, price in service.costs.items()}
     )
     fleet, tokens = make_fleet(), RequestTokens(6_000, 300)
     needed = required_probability(fleet, route, service, tokens, IDLE)
     assert needed > 0.5
-    assert required_probability(fleet, route, dear, tokens, IDLE) == pytest.approx(
+    assert required_probability(fleet, route, expensive, tokens, IDLE) == pytest.approx(
         needed
     )
 
 
-def test_late_answers_of_the_largest_are_worth_less():
-    route, service = parts()
+def test_late_answers_of_the_largest_model_have_less_value():
+    route, service = make_catalog_rows()
     fleet, tokens = make_fleet(), RequestTokens(6_000, 300)
-    late = EscalationProspect(FirstEventEstimate(read_ms=900.0))
+    late_prospect = EscalationProspect(FirstEventEstimate(read_ms=900.0))
     before = required_probability(fleet, route, service, tokens, IDLE)
-    assert required_probability(fleet, route, service, tokens, late) < before - 0.2
+    assert (
+        required_probability(fleet, route, service, tokens, late_prospect)
+        < before - 0.2
+    )
 
 
-def test_time_spent_before_counts_towards_the_aim():
-    route, service = parts()
+def test_elapsed_time_counts_towards_the_target_latency():
+    route, service = make_catalog_rows()
     fleet, tokens = make_fleet(), RequestTokens(6_000, 300)
-    spent = EscalationProspect(FirstEventEstimate(read_ms=100.0), spent_ms=700)
+    later_prospect = EscalationProspect(FirstEventEstimate(read_ms=100.0), spent_ms=700)
     before = required_probability(fleet, route, service, tokens, IDLE)
-    assert required_probability(fleet, route, service, tokens, spent) < before - 0.2
+    assert (
+        required_probability(fleet, route, service, tokens, later_prospect)
+        < before - 0.2
+    )
 
 
-def test_busy_engine_lets_in_what_gains_most_for_its_time():
-    route, service = parts()
+def test_busy_engine_prefers_the_greatest_gain_per_engine_time():
+    route, service = make_catalog_rows()
     fleet, tokens = make_fleet(), RequestTokens(6_000, 300)
     long, short = (
         FirstEventEstimate(read_ms=300.0),
@@ -126,8 +132,8 @@
     assert waits[-1] > 4 * waits[1]
 
 
-def test_largest_model_that_is_unsure_itself_is_asked_less():
-    route, service = parts()
+def test_largest_model_with_low_confidence_is_asked_less():
+    route, service = make_catalog_rows()
     fleet, tokens = make_fleet(), RequestTokens(6_000, 300)
     before = required_probability(fleet, route, service, tokens, IDLE)
     for _ in range(200):
@@ -135,9 +141,9 @@
     assert required_probability(fleet, route, service, tokens, IDLE) < before - 0.2
 
 
-def test_short_budget_keeps_repeats_for_the_answers_that_gain_most():
-    """Trial with BudgetRatio 0.4: repeats went to whoever came first."""
-    route, service = parts()
+def test_scarce_budget_reserves_repeats_for_the_greatest_gain():
+    """With a BudgetRatio of 0.4, repeats went to the requests that came first."""
+    route, service = make_catalog_rows()
     fleet = make_fleet()
     sizes = RequestTokens(6_000, 380), RequestTokens(600, 40)
     before = [required_probability(fleet, route, service, size, IDLE) for size in sizes]
@@ -148,8 +154,8 @@
     assert after[1] < before[1] - 0.3
 
 
-def test_short_budget_asks_the_largest_at_once_where_that_gains_more():
-    route, service = parts(rank=1)
+def test_scarce_budget_makes_asking_the_largest_model_directly_better():
+    route, service = make_catalog_rows(priority=1)
     fleet, tokens = make_fleet(), RequestTokens(600, 300)
     assert plan_models(fleet, route, service, tokens, IDLE).first == "small"
     for _ in range(20):
@@ -157,8 +163,8 @@
     assert plan_models(fleet, route, service, tokens, IDLE).first == "large"
 
 
-def test_repeats_cost_nothing_more_while_the_budget_allows_them():
-    route, service = parts()
+def test_repeat_price_stays_zero_while_the_budget_allows_repeats():
+    route, service = make_catalog_rows()
     fleet, tokens = make_fleet(), RequestTokens(6_000, 300)
     before = required_probability(fleet, route, service, tokens, IDLE)
     for _ in range(50):
@@ -166,8 +172,8 @@
     assert required_probability(fleet, route, service, tokens, IDLE) == before
 
 
-def test_route_with_one_model_has_no_choice():
-    route, service = parts()
+def test_route_with_one_model_always_uses_it():
+    route, service = make_catalog_rows()
     only = msgspec.structs.replace(route, models=(ModelId("middle"),))
     tokens = RequestTokens(1_000, 100)
     model_plan = plan_models(make_fleet(), only, service, tokens, IDLE)
--- a/tests/test_estimating.py
+++ b/tests/test_estimating.py
@@ -1,4 +1,4 @@
-"""The estimate of a first event: bounds, what it learns, what boxes tell."""
+"""Estimate of the first event: bounds, learning and reports of other boxes."""
 
 import random
 
@@ -37,7 +37,7 @@
 OWN = PromptPart("own", 1_000)
 
 
-def a_fleet(read_ms: float | None = 0.1):
+def make_fleet_with_worker(read_ms: float | None = 0.1):
     fleet = make_fleet()
     row = add_worker(fleet, make_worker("a"))
     if read_ms is not None:
@@ -45,7 +45,7 @@
     return fleet, row
 
 
-def answer(fleet, row, prompt, first_ms, now):
+def record_answer(fleet, row, prompt, first_ms, now):
     expected = estimate_first_event(fleet, row, prompt, ms(now), owner=False)
     record_first_event(fleet, row, prompt, expected, first_ms, ms(now))
 
@@ -53,37 +53,37 @@
 @given(
     read=st.integers(0, 60_000),
     shared=st.integers(0, 60_000),
-    waiting=st.floats(0, 1e5),
-    told=st.floats(0, 1e5),
+    queued_ms=st.floats(0, 1e5),
+    reported=st.floats(0, 1e5),
     now=st.integers(0, 10_000),
 )
 def test_estimate_is_never_negative_and_grows_with_the_queue(
-    read, shared, waiting, told, now
+    read, shared, queued_ms, reported, now
 ):
-    fleet, row = a_fleet()
+    fleet, row = make_fleet_with_worker()
     prompt = make_prompt(read=read, shared=min(read, shared))
     idle = estimate_first_event(fleet, row, prompt, now, owner=False)
-    row.prefill_ms = waiting
-    row.peer_prefill_ms[BoxId("box-2")] = (told, ms(0))
+    row.prefill_ms = queued_ms
+    row.peer_prefill_ms[BoxId("box-2")] = (reported, ms(0))
     busy = estimate_first_event(fleet, row, prompt, now, owner=False)
     assert 0.0 <= idle.first_ms <= busy.first_ms
-    assert busy.own_wait_ms == waiting
+    assert busy.own_wait_ms == queued_ms
 
 
 @given(st.integers(0, 40_000), st.integers(0, 40_000))
-def test_estimate_grows_with_what_is_to_be_read(one, other):
-    fleet, row = a_fleet()
-    found = [
+def test_estimate_grows_with_the_prompt(one, other):
+    fleet, row = make_fleet_with_worker()
+    estimates = [
         estimate_first_event(
             fleet, row, make_prompt(read=read, shared=0), ms(0), owner=False
         )
         for read in sorted((one, other))
     ]
-    assert found[0].read_ms <= found[1].read_ms
+    assert estimates[0].read_ms <= estimates[1].read_ms
 
 
-def test_kept_prompt_is_not_read_again():
-    fleet, row = a_fleet()
+def test_cached_prompt_needs_no_prefill():
+    fleet, row = make_fleet_with_worker()
     prompt = make_prompt(read=4_000, shared=3_000)
     cold = estimate_first_event(fleet, row, prompt, ms(0), owner=False)
     record_sent_prompt(fleet, row, prompt, OWN, ms(0))
@@ -92,43 +92,43 @@
 
 
 @pytest.mark.parametrize("factor", [0.5, 2.0])
-def test_speed_is_right_again_soon_after_engines_change(factor):
-    """Twenty answers, a second or two of a small fleet's, are enough."""
-    fleet, row = a_fleet(read_ms=0.05)
+def test_speed_adapts_quickly_when_engines_change(factor):
+    """Twenty answers suffice; a small fleet gives them in a second or two."""
+    fleet, row = make_fleet_with_worker(read_ms=0.05)
     rng = random.Random(3)
     for number in range(40):
         prompt = make_prompt(read=rng.randint(2_000, 20_000), shared=0)
         first_ms = 10.0 + 0.05 * factor * prompt.read * rng.uniform(0.9, 1.2)
         row.unreported_prefill_ms = 0.0
-        answer(fleet, row, prompt, first_ms, number)
+        record_answer(fleet, row, prompt, first_ms, number)
     speed = prefill_speed(fleet, prompt.service, prompt.model)
     assert speed.read_ms == pytest.approx(0.05 * factor, rel=0.25)
 
 
-def test_wait_that_nobody_told_of_does_not_count_as_slow_reading():
-    fleet, row = a_fleet(read_ms=0.05)
+def test_unreported_wait_does_not_count_as_slow_prefill():
+    fleet, row = make_fleet_with_worker(read_ms=0.05)
     prompt = make_prompt(read=4_000, shared=0)
     rng = random.Random(5)
     for number in range(200):
         row.unreported_prefill_ms = 0.0
         late = 900.0 if rng.random() < 0.25 else 0.0
-        answer(fleet, row, prompt, 210.0 + late, number)
+        record_answer(fleet, row, prompt, 210.0 + late, number)
     speed = prefill_speed(fleet, prompt.service, prompt.model)
     assert speed.read_ms * 4_000 + speed.base_ms == pytest.approx(210.0, rel=0.3)
 
 
-def test_late_answer_tells_of_others_and_is_forgotten():
-    fleet, row = a_fleet()
+def test_late_answer_adds_unreported_wait_that_decays():
+    fleet, row = make_fleet_with_worker()
     prompt = make_prompt(read=2_000, shared=0)
-    answer(fleet, row, prompt, 1_500.0, 1)
+    record_answer(fleet, row, prompt, 1_500.0, 1)
     soon = estimate_first_event(fleet, row, prompt, ms(1), owner=False)
     later = estimate_first_event(fleet, row, prompt, ms(9), owner=False)
     assert soon.others_wait_ms > 500.0
     assert later.others_wait_ms < 50.0
 
 
-def test_what_a_peer_has_waiting_runs_off_by_itself():
-    fleet, row = a_fleet()
+def test_wait_reported_by_a_peer_elapses():
+    fleet, row = make_fleet_with_worker()
     row.peer_prefill_ms[BoxId("box-2")] = (800.0, ms(1))
     prompt = make_prompt()
     waits = [
@@ -138,8 +138,8 @@
     assert waits == [800.0, 300.0, 0.0]
 
 
-def test_what_a_box_told_that_is_gone_is_forgotten():
-    fleet, row = a_fleet()
+def test_report_of_a_box_that_is_gone_expires():
+    fleet, row = make_fleet_with_worker()
     row.peer_prefill_ms[BoxId("gone")] = (800.0, ms(1))
     expire_peer_prefill(fleet, ms(1.5))
     assert row.peer_prefill_ms
@@ -147,8 +147,8 @@
     assert not row.peer_prefill_ms
 
 
-def test_model_not_met_yet_is_slower_as_it_is_dearer():
-    fleet, _ = a_fleet(read_ms=None)
+def test_speed_of_an_unknown_model_is_scaled_by_price():
+    fleet, _ = make_fleet_with_worker(read_ms=None)
     prompt = make_prompt("large")
     assert prefill_speed(fleet, prompt.service, prompt.model).read_ms == 0.0
     learn_speed(fleet, "small", read_ms=0.01)
@@ -157,8 +157,8 @@
     )
 
 
-def test_boxes_come_to_agree_on_a_speed_and_a_new_one_takes_it_over():
-    fleet, _ = a_fleet(read_ms=0.1)
+def test_boxes_converge_on_a_speed_and_a_new_box_adopts_it():
+    fleet, _ = make_fleet_with_worker(read_ms=0.1)
     key = (ServiceId("writer"), ModelId("large"))
     for _ in range(30):
         merge_prefill_speed(fleet, *key, PrefillSpeed(0.2, 30.0))
@@ -168,26 +168,26 @@
     assert fresh.prefill_speeds[key].read_ms == 0.2
 
 
-def test_prompt_read_elsewhere_is_known_where_it_was_told():
-    fleet, row = a_fleet()
+def test_reported_prefill_is_known_to_the_peer():
+    fleet, row = make_fleet_with_worker()
     prompt = make_prompt(read=4_000, shared=3_000)
     record_sent_prompt(fleet, row, prompt, OWN, ms(1))
-    (told,) = reportable_prefills(fleet, ms(1))
-    other, other_row = a_fleet()
-    apply_peer_prefill(other, told)
-    found = estimate_first_event(other, other_row, prompt, ms(1), owner=False)
-    assert found.unread == 1_000
+    (prefill,) = reportable_prefills(fleet, ms(1))
+    other, other_row = make_fleet_with_worker()
+    apply_peer_prefill(other, prefill)
+    estimate = estimate_first_event(other, other_row, prompt, ms(1), owner=False)
+    assert estimate.unread == 1_000
     assert reportable_prefills(fleet, ms(1) + REPORT_PREFILL_FOR_MS) == ()
 
 
-def test_prompts_quick_to_read_are_not_told():
-    fleet, row = a_fleet(read_ms=0.001)
+def test_quick_prefills_are_not_reported():
+    fleet, row = make_fleet_with_worker(read_ms=0.001)
     record_sent_prompt(fleet, row, make_prompt(), OWN, ms(1))
     assert reportable_prefills(fleet, ms(1)) == ()
 
 
-def test_owner_that_boxes_agree_on_is_believed_as_often_as_it_was_right():
-    fleet, row = a_fleet()
+def test_unseen_cache_rate_of_the_owner_is_learned():
+    fleet, row = make_fleet_with_worker()
     prompt = make_prompt(read=4_000, shared=3_000)
     for number in range(60):
         row.unreported_prefill_ms = 0.0
@@ -195,11 +195,11 @@
         expected = estimate_first_event(fleet, row, prompt, ms(number), owner=True)
         assert expected.unseen
         record_first_event(fleet, row, prompt, expected, 110.0, ms(number))
-    found = estimate_first_event(fleet, row, prompt, ms(99), owner=True)
-    assert found.unread < 1_300
+    estimate = estimate_first_event(fleet, row, prompt, ms(99), owner=True)
+    assert estimate.unread < 1_300
 
 
-def test_what_is_read_sooner_is_more_urgent():
+def test_shorter_prefill_is_more_urgent():
     steps = [
         urgency_of(FirstEventEstimate(read_ms=read), 4_000)
         for read in (5, 50, 500, 5_000)
@@ -210,20 +210,20 @@
 
 
 @pytest.mark.parametrize("boxes", [6, 91])
-def test_boxes_that_see_the_same_do_not_all_run_to_one_engine(boxes):
-    taken: dict[str, int] = {}
+def test_boxes_with_the_same_view_spread_over_engines(boxes):
+    counts: dict[str, int] = {}
     for number in range(boxes):
         fleet = make_fleet(f"box-{number}")
         learn_speed(fleet, "large", read_ms=0.1)
         for name in "abcdef":
             add_worker(fleet, make_worker(name))
-        wanted = PlacementRequest(
+        request = PlacementRequest(
             service=ServiceId("writer"),
             rule=VersionRule(),
             domain=DomainId("north"),
             prompt=make_prompt(shared=0),
             target_latency_ms=ms(2),
         )
-        placed = choose_worker(fleet, wanted, ms(1), random.Random(number))
-        taken[placed.worker.name] = taken.get(placed.worker.name, 0) + 1
-    assert max(taken.values()) <= max(3, 0.35 * boxes)
+        placement = choose_worker(fleet, request, ms(1), random.Random(number))
+        counts[placement.worker.name] = counts.get(placement.worker.name, 0) + 1
+    assert max(counts.values()) <= max(3, 0.35 * boxes)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -1,4 +1,4 @@
-"""Which prompt parts an engine keeps: chains, models, memory."""
+"""Model of an engine's prompt cache: prefixes, models and eviction."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,40 +14,40 @@
 ROOT, LEAF = PromptPart("root", 300), PromptPart("leaf", 700)
 
 
-def test_part_counts_only_with_every_part_before_it():
-    kept = PromptCache()
-    record_prefill(kept, LARGE, [LEAF], 0.0)
-    assert cached_tokens(kept, LARGE, [ROOT, LEAF]) == 0
-    record_prefill(kept, LARGE, [ROOT, LEAF], 0.0)
-    assert cached_tokens(kept, LARGE, [ROOT, LEAF]) == 1_000
+def test_part_counts_only_if_all_parts_before_it_are_cached():
+    cache = PromptCache()
+    record_prefill(cache, LARGE, [LEAF], 0.0)
+    assert cached_tokens(cache, LARGE, [ROOT, LEAF]) == 0
+    record_prefill(cache, LARGE, [ROOT, LEAF], 0.0)
+    assert cached_tokens(cache, LARGE, [ROOT, LEAF]) == 1_000
 
 
-def test_each_model_reads_for_itself():
-    kept = PromptCache()
-    record_prefill(kept, SMALL, [ROOT], 0.0)
-    assert cached_tokens(kept, LARGE, [ROOT]) == 0
+def test_each_model_has_its_own_cache_entries():
+    cache = PromptCache()
+    record_prefill(cache, SMALL, [ROOT], 0.0)
+    assert cached_tokens(cache, LARGE, [ROOT]) == 0
 
 
-def test_longest_unused_part_gives_way_first():
-    kept = PromptCache()
+def test_least_recently_used_part_is_evicted_first():
+    cache = PromptCache()
     for name in ("a", "b", "a", "c"):
-        record_prefill(kept, LARGE, [PromptPart(name, 400)], 1_000.0)
-    found = [
-        name for name in "abc" if cached_tokens(kept, LARGE, [PromptPart(name, 1)])
+        record_prefill(cache, LARGE, [PromptPart(name, 400)], 1_000.0)
+    cached = [
+        name for name in "abc" if cached_tokens(cache, LARGE, [PromptPart(name, 1)])
     ]
-    assert found == ["a", "c"]
+    assert cached == ["a", "c"]
 
 
-reads = st.lists(
+prefills = st.lists(
     st.tuples(st.integers(0, 900), st.integers(1, 5_000)), min_size=1, max_size=700
 )
 
 
-@given(reads, st.sampled_from([0.0, 4_000.0, 60_000.0]))
-def test_memory_is_bounded_and_its_sum_is_right(given_reads, capacity):
-    kept = PromptCache()
-    for name, tokens in given_reads:
-        record_prefill(kept, LARGE, [PromptPart(str(name), tokens)], capacity)
-        assert kept.tokens == sum(kept.parts.values())
-        assert len(kept.parts) <= MAX_CACHED_PARTS
-        assert not capacity or kept.tokens <= capacity
+@given(prefills, st.sampled_from([0.0, 4_000.0, 60_000.0]))
+def test_cache_size_is_bounded_and_its_token_count_is_correct(given_prefills, capacity):
+    cache = PromptCache()
+    for name, tokens in given_prefills:
+        record_prefill(cache, LARGE, [PromptPart(str(name), tokens)], capacity)
+        assert cache.tokens == sum(cache.parts.values())
+        assert len(cache.parts) <= MAX_CACHED_PARTS
+        assert not capacity or cache.tokens <= capacity
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Requests whose route or organisation names regions reach no worker elsewhere."""
+"""Requests restricted to regions never reach a worker in another region."""
 
 import json
 
@@ -24,65 +24,65 @@
 HERE, ABROAD = RegionId("here"), RegionId("abroad")
 
 
-def homes(*names: str) -> frozenset[RegionId]:
+def regions_of(*names: str) -> frozenset[RegionId]:
     return frozenset(RegionId(name) for name in names)
 
 
-def chosen(*regions: frozenset[RegionId]) -> str | None:
+def chosen_worker(*regions: frozenset[RegionId]) -> str | None:
     fleet = make_fleet()
     fleet.regions = {DomainId("north"): HERE, DomainId("south"): ABROAD}
     add_worker(fleet, make_worker("w-north")).inflight = 7
     add_worker(fleet, make_worker("w-south", domain="south"))
     add_worker(fleet, make_worker("w-lost", domain="nobody knows it"))
-    wanted = PlacementRequest(
+    request = PlacementRequest(
         ServiceId("writer"),
         VersionRule(),
         DomainId("east"),
         tried=["w-lost"],
         regions=regions,
     )
-    found = choose_worker(fleet, wanted, ms(1), seeded())
-    return found.worker.name if found is not None else None
+    placement = choose_worker(fleet, request, ms(1), seeded())
+    return placement.worker.name if placement is not None else None
 
 
-def test_worker_is_in_the_regions_that_are_named():
-    assert chosen() == "w-south"
-    assert chosen(homes()) == "w-south"
-    assert chosen(homes("here")) == "w-north"
-    assert chosen(homes("here", "abroad")) == "w-south"
+def test_worker_is_in_the_allowed_regions():
+    assert chosen_worker() == "w-south"
+    assert chosen_worker(regions_of()) == "w-south"
+    assert chosen_worker(regions_of("here")) == "w-north"
+    assert chosen_worker(regions_of("here", "abroad")) == "w-south"
 
 
-def test_regions_of_route_and_organisation_both_bind():
-    assert chosen(homes("here", "abroad"), homes("here")) == "w-north"
-    assert chosen(homes("here"), homes("abroad")) is None
+def test_regions_of_route_and_organisation_both_apply():
+    assert chosen_worker(regions_of("here", "abroad"), regions_of("here")) == "w-north"
+    assert chosen_worker(regions_of("here"), regions_of("abroad")) is None
 
 
-def test_domain_whose_region_is_not_known_is_in_none():
+def test_domain_without_a_known_region_is_in_no_region():
     fleet = make_fleet()
     add_worker(fleet, make_worker("w-lost", domain="nobody knows it"))
-    wanted = PlacementRequest(
+    request = PlacementRequest(
         ServiceId("writer"),
         VersionRule(),
         fleet.identity.domain,
         allow_tried=True,
-        regions=(homes("here"),),
+        regions=(regions_of("here"),),
     )
-    assert choose_worker(fleet, wanted, ms(1), seeded()) is None
+    assert choose_worker(fleet, request, ms(1), seeded()) is None
 
 
-def test_catalog_tells_the_regions():
+def test_catalog_contains_the_allowed_regions():
     routes = [{**CONFIG["Routes"][0], "AllowedRegions": ["here", "abroad"]}]
     orgs = [{**CONFIG["Tenants"][0], "AllowedRegions": ["here"]}]
     raw = json.dumps(config(Routes=routes, Tenants=orgs)).encode()
     catalog = decode_catalog(raw).ok_value
     asked = Asked(routes[0]["Hostname"], "/long/x", orgs[0]["ApiKeys"][0])
     assert admit(catalog, asked).ok_value.regions == (
-        homes("here", "abroad"),
-        homes("here"),
+        regions_of("here", "abroad"),
+        regions_of("here"),
     )
 
 
-async def test_request_that_no_worker_may_answer_is_refused_at_once():
+async def test_request_without_an_allowed_worker_is_refused_at_once():
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
         box.node.fleet.regions = {DomainId("north"): HERE}
