--- a/src/spanshunt/systems/admitting.py
+++ b/src/spanshunt/systems/admitting.py
@@ -1,4 +1,4 @@
-"""Admission: which route a request takes and whose it is."""
+"""Admission: finds the route and the organisation of a request."""
 
 import msgspec
 from result import Err
@@ -15,23 +15,25 @@
 from ..tables.catalog import find_route
 
 HELD_PART, HELD_MOST_MS = 0.125, 1_000
-"""How long a request waits at a box that knows no catalog yet: part of the time that
-its caller has left, and at most, in ms. A box reads the catalog as soon as it starts,
-and a caller may have no try left."""
+"""How long a request waits at a box that knows no catalog yet: a fraction of the time
+that its caller has left, and the upper bound in ms. A box reads the catalog as soon as
+it starts, and a caller may have no attempt left."""
 
 NOT_READY_PART, NOT_READY_MOST_MS = 1 / 6, 2_000
-"""When to come back to a box that still knows none: part of the time that the caller
-has left, and at most, in ms. Neither store nor peers answered until now, and outages
-last for seconds."""
+"""When a caller should retry at a box that still knows no catalog: a fraction of the
+time that the caller has left, and the upper bound in ms. Neither the store nor a peer
+has answered by then, and outages last for seconds."""
 
 
 class Asked(msgspec.Struct, frozen=True):
-    """What decides about admission.
+    """The properties of a request that decide its admission.
 
     Attributes
     ----------
-    host, path, credential : str
-        Where to, and whose it is ("" for nobody's).
+    host, path : str
+        Host and path of the request.
+    credential : str
+        Credential that the caller presents; empty for none.
     left_ms : int
         How long the caller still waits, in ms.
     """
@@ -43,7 +45,7 @@
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """A request's route, and its organisation unless the route is anonymous."""
+    """The route of a request, and its organisation unless the route is anonymous."""
 
     route: RouteRow
     org: OrgRow | None
@@ -51,14 +53,14 @@
 
     @property
     def priority(self) -> int:
-        """The urgency: the organisation's where it has one, else the route's."""
+        """Priority of the organisation if it has one, else of the route."""
         if self.org is not None and self.org.priority is not None:
             return self.org.priority
         return self.route.priority
 
     @property
     def regions(self) -> tuple[frozenset[RegionId], ...]:
-        """The regions of the route and of the organisation; both bind."""
+        """Allowed regions of the route and of the organisation; both apply."""
         org = self.org.regions if self.org is not None else frozenset()
         return self.route.regions, org
 
@@ -69,7 +71,7 @@
 
 
 def admit(catalog: Catalog | None, asked: Asked) -> Result[Admitted, Refusal]:
-    """Find route and organisation of a request in the catalog as it is now."""
+    """Return the route and the organisation of a request in the current catalog."""
     if catalog is None:
         return Err(_not_ready("this box knows no catalog yet", asked.left_ms))
     route = find_route(catalog, asked.host, asked.path)
@@ -84,9 +86,9 @@
 
 
 def unproved(catalog: Catalog | None, left_ms: int) -> Refusal:
-    """Return the refusal of a request that the newest catalog may well allow."""
+    """Return the refusal of a request that the newest catalog may allow."""
     known = catalog.version if catalog is not None else "none"
-    detail = f"this box can't tell whether catalog {known} is the newest"
+    detail = f"this box can't verify that catalog {known} is the newest"
     return _not_ready(detail, left_ms)
 
 
--- a/src/spanshunt/systems/claiming.py
+++ b/src/spanshunt/systems/claiming.py
@@ -1,4 +1,4 @@
-"""Calls that may run once: who may run a key is decided by the order of the log."""
+"""Calls that may run once: the order of the log decides which request may run a key."""
 
 from result import Ok
 
@@ -18,7 +18,7 @@
 from ..utils import digest
 
 KEY_LIFETIME_MS = 15 * 60 * 1000
-"""How long a key is remembered; it must be well under the log's retention."""
+"""How long a key is remembered, in ms; it must be well below the log's retention."""
 
 
 def claim_key(org: OrgId, service: ServiceId, key: str) -> str:
@@ -27,10 +27,10 @@
 
 
 def fold_claims(table: ClaimTable, record: LogRecord) -> tuple[Release, ...]:
-    """Fold one record; return releases that this box owes the log.
+    """Fold one record and return the releases that this box must append to the log.
 
-    A box that gave up on a claim whose append had no answer owes a release once that
-    claim shows up as a winner after all.
+    A box that gave up a claim because its append had no answer must release that claim
+    if the claim wins after all.
     """
     if record.offset < table.next_offset:
         return ()
@@ -45,45 +45,45 @@
         won = table.won.get(release.key)
         if won is not None and won.claim.request == release.request:
             del table.won[release.key]
-    owed = []
+    due = []
     for claim in claims.claims:
         if claim.key in table.won:
             continue
         table.won[claim.key] = WonClaim(claim, record.at)
         own = table.own.get(claim.request)
         if own is not None and own.state is CallState.GIVEN_UP:
-            owed.append(Release(claim.key, claim.request))
-    return tuple(owed)
+            due.append(Release(claim.key, claim.request))
+    return tuple(due)
 
 
 def winner(table: ClaimTable, key: str) -> Claim | None:
-    """Return the claim that holds `key`, None if it is free."""
+    """Return the claim that holds `key`, or None if the key is free."""
     won = table.won.get(key)
     return won.claim if won is not None else None
 
 
 def start_at(table: ClaimTable, first: Offset) -> None:
-    """Go on from the first record that the log holds.
+    """Skip the records before `first`, the first one that the log holds.
 
-    Records that the log dropped are older than the lifetime of a key, so nothing that
+    Records that the log dropped are older than the lifetime of a key, so no claim that
     still counts is skipped.
     """
     table.next_offset = max(table.next_offset, first)
 
 
 def forget_own(table: ClaimTable, keep: int) -> None:
-    """Keep this box's newest `keep` calls that are over."""
-    over = [
+    """Drop this box's finished calls except for the newest `keep`."""
+    finished = [
         request
         for request, call in table.own.items()
         if call.state in (CallState.DONE, CallState.GIVEN_UP)
     ]
-    for request in over[: max(0, len(over) - keep)]:
+    for request in finished[: max(0, len(finished) - keep)]:
         del table.own[request]
 
 
 def may_send(table: ClaimTable, key: str, request: RequestId) -> bool:
-    """Tell whether `request` holds `key` and was not sent or given up."""
+    """Return whether `request` holds `key` and was neither sent nor given up."""
     own = table.own.get(request)
     held = winner(table, key)
     return (
--- a/src/spanshunt/systems/fleet_size.py
+++ b/src/spanshunt/systems/fleet_size.py
@@ -1,4 +1,4 @@
-"""How many boxes there are: what boxes share out by counting, without a word."""
+"""The number of boxes, and how boxes spread work in time without coordination."""
 
 from ..ids import BoxId
 from ..ids import Millis
@@ -8,23 +8,23 @@
 
 
 def box_count(fleet: Fleet) -> int:
-    """Return how many boxes there are, as far as this one heard."""
+    """Return the number of boxes, as far as this box knows."""
     return max(1 + len(fleet.peers), fleet.reported_box_count)
 
 
 def may_be_alone(fleet: Fleet, now: Millis) -> bool:
-    """Tell whether a box that heard of no other one may take it that there is none."""
+    """Return whether this box found a peer, or has searched for long enough."""
     return box_count(fleet) > 1 or now >= fleet.discovery_until
 
 
 def turn_of(fleet: Fleet, key: str) -> float:
-    """Return this box's turn among all boxes at something, in 0 to 1.
+    """Return when this box's turn is among all boxes, as a fraction from 0 to 1.
 
-    Boxes that know all of the others take turns that are equally far apart, in an order
-    that differs from key to key. One that does not know them all draws its own.
+    Boxes that know all peers get evenly spaced turns, in an order that differs by key.
+    A box that does not know all peers uses a hash of its own name instead.
     """
-    me = fleet.identity.box
-    names: list[BoxId] = [me, *fleet.peers]
+    own = fleet.identity.box
+    names: list[BoxId] = [own, *fleet.peers]
     if len(names) < box_count(fleet):
-        return unit_hash("turn", key, me)
-    return rendezvous(key, names, len(names)).index(me) / len(names)
+        return unit_hash("turn", key, own)
+    return rendezvous(key, names, len(names)).index(own) / len(names)
--- a/src/spanshunt/systems/fold.py
+++ b/src/spanshunt/systems/fold.py
@@ -1,7 +1,7 @@
-"""The fold of the configuration stream: the same function on every box.
+"""The fold of the configuration stream, which is the same function on every box.
 
-Given the same records it gives the same tables, whatever the clock, the box or the way
-in which the records came.
+The same records give the same tables, whatever the clock, the box or the way in which
+the records arrived.
 """
 
 import msgspec
@@ -39,31 +39,31 @@
 from ..utils import digest
 
 HISTORY_ROWS = 500
-"""Rows of history kept; older ones are only on the log."""
+"""Number of history rows kept; older ones are only on the log."""
 
 OUTCOME_OFFSETS = 50_000
-"""How long, in records, a plan's outcome is kept to answer and to fold doubles."""
+"""For how many records a plan's outcome is kept, to answer queries and to recognise
+duplicates."""
 
 
 def fold_record(config: Config, record: LogRecord) -> None:
     """Fold one record of the configuration stream into `config`.
 
-    A record at an offset below ``config.next_offset`` was folded before and is passed
-    over. One above it means that records are missing.
+    A record at an offset below ``config.next_offset`` was folded before and is skipped.
 
     Raises
     ------
     InvariantError
-        If a record is missing before this one.
+        If a record before this one is missing.
     """
     if record.offset < config.next_offset:
         return
     if record.offset > config.next_offset:
-        detail = f"record {record.offset} folded onto {config.next_offset}"
+        detail = f"record {record.offset} given, {config.next_offset} expected"
         raise InvariantError("configuration-in-order", detail)
     match decode_record(record.data):
-        case Ok(known):
-            _apply(config, known, record)
+        case Ok(decoded):
+            _apply(config, decoded, record)
         case Err(_):
             pass
     config.next_offset = Offset(record.offset + 1)
@@ -75,7 +75,7 @@
 
 
 def clone(config: Config) -> Config:
-    """Return a copy of the tables; the rows themselves never change."""
+    """Return a copy of the tables; it shares the rows, which are immutable."""
     return Config(
         next_offset=config.next_offset,
         services=dict(config.services),
@@ -91,49 +91,49 @@
 
 
 def verified(snapshot: Snapshot) -> Config | None:
-    """Return the snapshot's configuration, None if its hash does not fit."""
+    """Return the configuration of a snapshot, or None if its hash does not match."""
     if digest(snapshot.config) != snapshot.hash:
         return None
     return snapshot.config
 
 
 def moved(config: Config, base: dict[ObjectKey, int]) -> tuple[ObjectKey, ...]:
-    """Return the objects whose revision is no longer that of `base`."""
+    """Return the objects whose revision differs from that in `base`."""
     return tuple(
         sorted(key for key, rev in base.items() if config.revision(key) != rev)
     )
 
 
-def _apply(config: Config, record: Record, at: LogRecord) -> None:
-    match record:
+def _apply(config: Config, decoded: Record, record: LogRecord) -> None:
+    match decoded:
         case Confirm():
-            _apply_confirm(config, record, at)
+            _apply_confirm(config, decoded, record)
         case RolloutStep():
-            _apply_step(config, record, at)
+            _apply_step(config, decoded, record)
         case Lease():
-            _apply_lease(config, record, at)
+            _apply_lease(config, decoded, record)
         case _:
             pass
 
 
-def _apply_confirm(config: Config, record: Confirm, at: LogRecord) -> None:
-    if record.plan in config.outcomes:
+def _apply_confirm(config: Config, confirm: Confirm, record: LogRecord) -> None:
+    if confirm.plan in config.outcomes:
         return
-    config.outcomes[record.plan] = at.offset
-    _forget_outcomes(config, at.offset)
-    conflicts = moved(config, record.base)
+    config.outcomes[confirm.plan] = record.offset
+    _forget_outcomes(config, record.offset)
+    conflicts = moved(config, confirm.base)
     if conflicts:
-        config.conflicts[record.plan] = conflicts
-        _remember(config, record, at, accepted=False)
+        config.conflicts[confirm.plan] = conflicts
+        _remember(config, confirm, record, accepted=False)
         return
-    for change in record.changes:
-        _apply_change(config, record, change, at)
-        config.revisions[change.key] = at.offset
-    _remember(config, record, at, accepted=True)
+    for change in confirm.changes:
+        _apply_change(config, confirm, change, record)
+        config.revisions[change.key] = record.offset
+    _remember(config, confirm, record, accepted=True)
 
 
 def _apply_change(
-    config: Config, record: Confirm, change: Change, at: LogRecord
+    config: Config, confirm: Confirm, change: Change, record: LogRecord
 ) -> None:
     match change:
         case PutService(row=service):
@@ -141,16 +141,18 @@
         case PutVersion(row=version):
             config.versions[VersionId(version.name)] = version
             if version.state is VersionState.ACTIVE:
-                _set_state(config, VersionId(version.name), version.state, at.offset)
+                _set_state(
+                    config, VersionId(version.name), version.state, record.offset
+                )
         case PutOrg(row=org):
             config.orgs[OrgId(org.name)] = org
         case StartRollout(version=name, guards=guards):
             row = RolloutRow(
-                name=rollout_id(record.plan, name),
+                name=rollout_id(confirm.plan, name),
                 version=name,
                 guards=guards,
                 stage=0,
-                stage_since=at.at,
+                stage_since=record.at,
             )
             config.rollouts[row.name] = row
             _set_state(config, name, VersionState.ENTERING)
@@ -159,46 +161,55 @@
             _end_rollouts(config, name, "version withdrawn by an operator")
 
 
-def _apply_step(config: Config, record: RolloutStep, at: LogRecord) -> None:
-    row = config.rollouts.get(record.rollout)
-    if row is None or record.from_stage != row.stage:
+def _apply_step(config: Config, step: RolloutStep, record: LogRecord) -> None:
+    row = config.rollouts.get(step.rollout)
+    if row is None or step.from_stage != row.stage:
         return
     if row.state is RolloutState.PULLED_BACK:
         return
-    if record.verdict is StepVerdict.PULL_BACK:
+    if step.verdict is StepVerdict.PULL_BACK:
         config.rollouts[row.name] = msgspec.structs.replace(
-            row, state=RolloutState.PULLED_BACK, reason=record.reason
+            row, state=RolloutState.PULLED_BACK, reason=step.reason
         )
         _set_state(config, row.version, VersionState.WITHDRAWN)
     elif row.state is RolloutState.DONE:
         return
     elif row.stage + 1 < len(row.guards.stages):
         config.rollouts[row.name] = msgspec.structs.replace(
-            row, stage=row.stage + 1, stage_since=at.at
+            row, stage=row.stage + 1, stage_since=record.at
         )
     else:
         config.rollouts[row.name] = msgspec.structs.replace(
-            row, state=RolloutState.DONE, reason=record.reason
+            row, state=RolloutState.DONE, reason=step.reason
         )
-        _set_state(config, row.version, VersionState.ACTIVE, at.offset)
-    config.revisions[ObjectKey(f"version/{row.version}")] = at.offset
-    summary = f"{row.name}: {record.verdict.value}: {record.reason}"
+        _set_state(config, row.version, VersionState.ACTIVE, record.offset)
+    config.revisions[ObjectKey(f"version/{row.version}")] = record.offset
+    summary = f"{row.name}: {step.verdict.value}: {step.reason}"
     _add_history(
-        config, HistoryRow(at.offset, at.at, str(record.box), summary, accepted=True)
+        config,
+        HistoryRow(record.offset, record.at, str(step.box), summary, accepted=True),
     )
 
 
-def _apply_lease(config: Config, record: Lease, at: LogRecord) -> None:
-    held = config.leases.get(record.duty)
-    if held is not None and held.holder != record.holder and at.at < held.until:
+def _apply_lease(config: Config, lease: Lease, record: LogRecord) -> None:
+    current = config.leases.get(lease.duty)
+    if (
+        current is not None
+        and current.holder != lease.holder
+        and record.at < current.until
+    ):
         return
-    renewed = held is not None and held.holder == record.holder and at.at < held.until
-    token = held.token if renewed and held is not None else at.offset
-    config.leases[record.duty] = LeaseRow(
-        duty=record.duty,
-        holder=record.holder,
+    is_renewal = (
+        current is not None
+        and current.holder == lease.holder
+        and record.at < current.until
+    )
+    token = current.token if is_renewal and current is not None else record.offset
+    config.leases[lease.duty] = LeaseRow(
+        duty=lease.duty,
+        holder=lease.holder,
         token=token,
-        until=Millis(at.at + record.duration),
+        until=Millis(record.at + lease.duration),
     )
 
 
@@ -222,10 +233,10 @@
 
 
 def _remember(
-    config: Config, record: Confirm, at: LogRecord, *, accepted: bool
+    config: Config, confirm: Confirm, record: LogRecord, *, accepted: bool
 ) -> None:
-    summary = "; ".join(change.describe() for change in record.changes)
-    row = HistoryRow(at.offset, at.at, record.operator, summary, accepted)
+    summary = "; ".join(change.describe() for change in confirm.changes)
+    row = HistoryRow(record.offset, record.at, confirm.operator, summary, accepted)
     _add_history(config, row)
 
 
@@ -236,8 +247,8 @@
 
 def _forget_outcomes(config: Config, offset: Offset) -> None:
     oldest = offset - OUTCOME_OFFSETS
-    for plan, at in list(config.outcomes.items()):
-        if at >= oldest:
+    for plan, outcome_offset in list(config.outcomes.items()):
+        if outcome_offset >= oldest:
             break
         del config.outcomes[plan]
         config.conflicts.pop(plan, None)
--- a/src/spanshunt/systems/following.py
+++ b/src/spanshunt/systems/following.py
@@ -1,4 +1,4 @@
-"""Following: take configuration records and snapshots in, from the log or a peer."""
+"""Application of configuration records and snapshots from the log or a peer."""
 
 import typing as t
 
@@ -16,15 +16,16 @@
 from .invariants import check_offset
 
 SNAPSHOT_EVERY = 500
-"""Records after which a snapshot is put on the log."""
+"""Number of records after which a snapshot is appended to the log."""
 
 
 def take_records(state: State, records: t.Iterable[LogRecord]) -> int:
-    """Fold the records that follow on what is held; return how many were new.
+    """Fold the records that follow the held ones and return how many were new.
 
-    Records behind are passed over; at a gap the rest is left for later.
+    Records that were folded before are skipped; the records after a gap are left for
+    later.
     """
-    taken = 0
+    count = 0
     for record in records:
         held = state.config.next_offset
         if record.offset < held:
@@ -35,14 +36,14 @@
         check_offset(held, state.config.next_offset)
         _note_snapshot(state, record)
         state.recent_records.append(record)
-        taken += 1
-    if taken:
+        count += 1
+    if count:
         _lift_suspensions(state)
-    return taken
+    return count
 
 
 def take_snapshot(state: State, snapshot: Snapshot) -> bool:
-    """Take a snapshot that is further than what is held and whose hash fits."""
+    """Apply a snapshot if it is newer than the tables and its hash matches."""
     config = verified(snapshot)
     if config is None or config.next_offset <= state.config.next_offset:
         return False
@@ -69,7 +70,7 @@
 
 
 def newest_snapshot(records: t.Iterable[LogRecord]) -> Snapshot | None:
-    """Return the snapshot that is furthest among `records`, None if there is none."""
+    """Return the newest snapshot among `records`, or None if there is none."""
     best: Snapshot | None = None
     for record in records:
         match decode_record(record.data):
@@ -85,7 +86,7 @@
 
 
 def snapshot_due(state: State) -> bool:
-    """Tell whether a snapshot should be put on the log."""
+    """Return whether a snapshot should be appended to the log."""
     return state.config.next_offset - state.snapshot_offset >= SNAPSHOT_EVERY
 
 
@@ -98,7 +99,7 @@
 
 
 def _lift_suspensions(state: State) -> None:
-    """Drop suspensions that the configuration has overtaken."""
+    """Drop suspensions of versions whose roll-out is pulled back on the log."""
     for version, row in list(state.suspended.items()):
         rollout = state.config.rollouts.get(row.rollout)
         if rollout is not None and rollout.state.value == "pulled_back":
--- a/src/spanshunt/systems/following_workers.py
+++ b/src/spanshunt/systems/following_workers.py
@@ -1,9 +1,9 @@
-"""The list of backend servers: what a new list means for the workers' table.
+"""The list of backend servers: how a new list changes the table of workers.
 
-A worker leaves when its entry says so or is gone. Entries also lapse while the store is
-away, which shows as a time in which no box read the list. A worker whose entry has not
-been seen since is kept until a grace after it, as long as nothing else speaks against
-it.
+A worker leaves when its entry says so or is gone. Entries also expire while the store
+is unreachable, which shows as a time in which no box read the list. A worker whose
+entry has not been seen since that time is retained until a grace period after it,
+unless there is other evidence against it.
 """
 
 import zlib
@@ -21,40 +21,43 @@
 from .warming import note_started
 
 RETURN_GRACE_MS = 2_000
-"""How long after the store's return a lapsed entry is waited for, in ms: workers that
-live write theirs again within about two seconds."""
+"""How long after the store is back an expired entry is waited for, in ms: live workers
+rewrite theirs within about 2 s."""
 
 READ_GAP_MS = 1_500
-"""Longest time between two readings of the list, by any box, in which the store is not
-taken to have been away, in ms: a reader reads every 0.9 to 1.4 s, and entries lapse
-after three heartbeats of silence, about 3.6 s."""
+"""Maximum time between two reads of the list, by any box, in which the store counts as
+reachable, in ms. A reader reads every 0.9 to 1.4 s, and entries expire after three
+missed heartbeats, about 3.6 s."""
 
 HEARD_MS = 1_500
-"""A peer not heard for this long is not relied on to read the list, in ms: three rounds
-of exchanges."""
+"""A peer not heard for this long is not relied on to read the list, in ms: three gossip
+rounds."""
 
 REFUSED_MS = 3_000
-"""How long after a failed call a box that calls no more is taken to be refused, in ms:
-while the store is away from all, each box tries that seldom."""
+"""How long after a failed call a box that makes no more calls counts as refused, in ms:
+while the store is unreachable for all boxes, each of them calls it that rarely."""
 
 OPERATOR_FOLLOWERS = 2
-"""Boxes of a failure domain that follow the operators' records, stand in the list of
-boxes, and read what is kept back: two, so that one which is frozen, cut or killed holds
-nobody up; each further one makes a call for each record and one every 20 s."""
+"""Number of boxes of a failure domain that follow the operators' records, have an entry
+in the list of boxes, and read the quarantined contents. With two, a box that is frozen,
+cut off or killed delays nobody; each further one makes a call for each record and one
+every 20 s."""
 
 TRY_MS = 200
-"""Pause of a box whose last call to the store failed and that another box should read
-for, in ms for each box of its failure domain: together they make five tries a second,
-however many they are. Two boxes try as often as the reader does."""
+"""Pause between the calls of a box whose last call to the store failed and for which
+another box should read, in ms for each box of its failure domain. Together they make
+five calls a second, however many they are. Two boxes call as often as the reader
+does."""
 
 OLD_PART = 0.6
-"""A list older than this part of the time within which a leaving worker must get
-nothing new is read anew by any box, whoever should have: a call then still fits in."""
+"""A list older than this fraction of the time within which a leaving worker must get no
+new requests is read by any box, whichever box should read it: a call then still fits
+in."""
 
 
 FORMER_KEPT = 256
-"""Workers at most whose words are kept after their entries went: an entry may come back
-with the store, and few of a fleet say anything."""
+"""Maximum number of workers whose notices are kept after their entries are gone: an
+entry may come back with the store, and few workers of a fleet send notices."""
 
 
 class ListedWorker(msgspec.Struct, frozen=True):
@@ -65,11 +68,11 @@
     row : WorkerRow
         The worker.
     draining : bool
-        Whether its entry says that it leaves.
+        Whether the entry says that the worker leaves.
     cold_ms : int or None
-        How much longer it is slow from its start, in ms; None where that is not told.
+        How much longer the worker is cold after its start, in ms; None if unknown.
     flaw : str
-        What its entry says that can't be; empty for nothing.
+        Description of an invalid value in the entry; empty for none.
     """
 
     row: WorkerRow
@@ -79,7 +82,7 @@
 
 
 class ListChange(msgspec.Struct, frozen=True):
-    """What a list changed, for logs; ``ended`` are rows of lives that are over."""
+    """Changes by a list, for logs; ``ended`` are rows of incarnations that ended."""
 
     came: tuple[WorkerId, ...] = ()
     leaving: tuple[WorkerId, ...] = ()
@@ -96,7 +99,7 @@
 def take_list(
     fleet: Fleet, listed: list[ListedWorker], end: Offset, now: Millis
 ) -> ListChange:
-    """Take a whole list into the table; one older than the last taken is ignored."""
+    """Apply a whole list to the table; one older than the last applied is ignored."""
     if end < fleet.workers_end:
         return ListChange()
     fleet.workers_end = end
@@ -109,19 +112,19 @@
 
 
 def _ended(fleet: Fleet, listed: list[ListedWorker]) -> tuple[WorkerRow, ...]:
-    """Return the rows whose worker has ended unplanned, as the list shows.
+    """Return the rows whose worker ended unplanned, as the list shows.
 
-    Another life of it is there, or a worker that was not known has its address.
+    The list has a later incarnation of it, or a new worker at its address.
     """
     rows = fleet.workers.rows
-    fresh = [item.row for item in listed if item.row.name not in rows]
-    taken = {row.address for row in fresh}
-    lives = {item.row.name: item.row.born for item in listed}
+    new_rows = [item.row for item in listed if item.row.name not in rows]
+    addresses = {row.address for row in new_rows}
+    born_by_name = {item.row.name: item.row.born for item in listed}
     return tuple(
         row
         for row in rows.values()
         if row.name not in fleet.workers.leaving
-        and (row.address in taken or lives.get(row.name, 0) > row.born > 0)
+        and (row.address in addresses or born_by_name.get(row.name, 0) > row.born > 0)
     )
 
 
@@ -131,64 +134,64 @@
     workers = fleet.workers
     came, leaving = [], []
     for item in listed:
-        fresh = item.row
-        fleet.missing_workers.discard(fresh.name)
-        known = workers.rows.get(fresh.name)
-        if known is None or fresh.born > known.born > 0:
-            _take_life(fleet, fresh, now)
-            came.append(fresh.name)
+        listed_row = item.row
+        fleet.missing_workers.discard(listed_row.name)
+        known = workers.rows.get(listed_row.name)
+        if known is None or listed_row.born > known.born > 0:
+            _take_life(fleet, listed_row, now)
+            came.append(listed_row.name)
         else:
-            known.address, known.domain = fresh.address, fresh.domain
-            known.versions, known.service = fresh.versions, fresh.service
-            known.born = fresh.born or known.born
-        row = workers.rows[fresh.name]
+            known.address, known.domain = listed_row.address, listed_row.domain
+            known.versions, known.service = listed_row.versions, listed_row.service
+            known.born = listed_row.born or known.born
+        row = workers.rows[listed_row.name]
         row.listed_at = now
         row.listed_cold = bool(item.cold_ms)
         if item.cold_ms is not None:
             row.cold_until = max(row.cold_until, Millis(now + item.cold_ms))
-        elif row is fresh:
+        elif row is listed_row:
             note_started(fleet, row, now)
         row.listed_leaving = item.draining
-        if item.draining and fresh.name not in workers.leaving:
-            _mark_leaving(fleet, fresh.name)
-            leaving.append(fresh.name)
+        if item.draining and listed_row.name not in workers.leaving:
+            _mark_leaving(fleet, listed_row.name)
+            leaving.append(listed_row.name)
     return tuple(came), tuple(leaving)
 
 
-def _take_life(fleet: Fleet, fresh: WorkerRow, now: Millis) -> None:
-    """Take a worker in that is new, or back under its id.
+def _take_life(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
+    """Add a worker that is new, or a new incarnation of a known one.
 
-    One that is back gets a row of its own: its load, what it keeps, its failures and
-    that it was leaving were its former life's, and attempts there still count down the
-    old row.
+    A new incarnation gets a new row: load, cache contents, failures and leaving state
+    are those of the former incarnation, whose attempts still decrement the old row's
+    counter.
     """
-    if fresh.name in fleet.workers.rows:
-        # What peers still tell of its former life's silence is older than this.
-        fresh.last_byte_at = now
-    fleet.workers.rows[fresh.name] = fresh
-    fleet.workers.leaving.discard(fresh.name)
-    fleet.silence_reports.pop(fresh.name, None)
-    former = fleet.workers.former.pop(fresh.name, None)
-    if former is not None and former.born == fresh.born:
-        _take_words(fleet, fresh, former)
-
-
-def _take_words(fleet: Fleet, fresh: WorkerRow, former: WorkerRow) -> None:
-    """Let a worker's words hold on whose entry went and came back in the same life."""
-    fresh.limit, fresh.rate_limiter = former.limit, former.rate_limiter
-    fresh.rest, fresh.notices_since = former.rest, former.notices_since
+    if row.name in fleet.workers.rows:
+        # Peers' reports of the former incarnation's silence are older than this.
+        row.last_byte_at = now
+    fleet.workers.rows[row.name] = row
+    fleet.workers.leaving.discard(row.name)
+    fleet.silence_reports.pop(row.name, None)
+    former = fleet.workers.former.pop(row.name, None)
+    if former is not None and former.born == row.born:
+        _take_words(fleet, row, former)
+
+
+def _take_words(fleet: Fleet, row: WorkerRow, former: WorkerRow) -> None:
+    """Restore the notices of a worker whose entry came back."""
+    row.limit, row.rate_limiter = former.limit, former.rate_limiter
+    row.rest, row.notices_since = former.rest, former.notices_since
     if former.leaving is not None:
-        note_leaving(fleet, fresh, former.leaving)
+        note_leaving(fleet, row, former.leaving)
 
 
 def _take_missing(
     fleet: Fleet, present: set[WorkerId], now: Millis
 ) -> tuple[tuple[WorkerId, ...], tuple[WorkerId, ...]]:
-    waits = awaits_entries(fleet, now)
+    may_return = awaits_entries(fleet, now)
     gone, kept = [], []
     for name in set(fleet.workers.rows) - present:
-        lapsed = fleet.workers.rows[name].listed_at < fleet.list_read_streak.since
-        if waits and lapsed and name not in fleet.workers.leaving:
+        has_expired = fleet.workers.rows[name].listed_at < fleet.list_read_streak.since
+        if may_return and has_expired and name not in fleet.workers.leaving:
             if name not in fleet.missing_workers:
                 kept.append(name)
             fleet.missing_workers.add(name)
@@ -199,16 +202,16 @@
 
 
 def awaits_entries(fleet: Fleet, now: Millis) -> bool:
-    """Tell whether entries that the list lacks may yet come back.
+    """Return whether entries that the list lacks may still come back.
 
     They may just after a time in which no box read the list. A box that was cut off
-    waits only until it hears of one that read on: then no entry lapsed.
+    waits only until it hears of a box that kept reading: then no entry expired.
     """
     return now < fleet.list_read_streak.since + RETURN_GRACE_MS
 
 
 def drop_missing(fleet: Fleet, now: Millis) -> tuple[WorkerId, ...]:
-    """Remove the workers whose entries are no longer waited for; return them."""
+    """Remove missing workers that are no longer waited for and return their names."""
     if not fleet.missing_workers or awaits_entries(fleet, now):
         return ()
     dropped = tuple(
@@ -236,60 +239,62 @@
 def note_reading(
     fleet: Fleet, read_at: Millis, unbroken_since: Millis | None = None
 ) -> None:
-    """Take in that the list was read from the store.
+    """Record that the list was read from the store.
 
     Parameters
     ----------
     fleet : Fleet
         The tables.
     read_at : int
-        When, in ms, by this box or by the one that told it.
+        Time of the read, by this box or by the peer that reports it, in ms.
     unbroken_since : int or None
-        Since when the teller knows of readings without a gap up to that one, in ms.
+        Start of the time span up to that read in which the peer knows of reads without
+        a gap, in ms.
     """
-    readings = fleet.list_read_streak
-    reaches = read_at >= readings.last - READ_GAP_MS
-    if readings.last < 0 or read_at - readings.last > READ_GAP_MS:
-        readings.since = read_at
-    if unbroken_since is not None and reaches:
-        readings.since = min(readings.since, unbroken_since)
-    readings.last = max(readings.last, read_at)
+    streak = fleet.list_read_streak
+    is_connected = read_at >= streak.last - READ_GAP_MS
+    if streak.last < 0 or read_at - streak.last > READ_GAP_MS:
+        streak.since = read_at
+    if unbroken_since is not None and is_connected:
+        streak.since = min(streak.since, unbroken_since)
+    streak.last = max(streak.last, read_at)
 
 
 def _mark_leaving(fleet: Fleet, name: WorkerId) -> None:
-    """Stop giving new work to a worker, for as long as its entry stands."""
+    """Give a worker no new requests while its entry exists."""
     fleet.workers.leaving.add(name)
     row = fleet.workers.rows.get(name)
     if row is not None:
         row.state = WorkerState.LEAVING
 
 
-def note_leaving(fleet: Fleet, row: WorkerRow, word: LeavingNotice) -> bool:
-    """Take in that a worker said it leaves; return whether that is news.
+def note_leaving(fleet: Fleet, row: WorkerRow, notice: LeavingNotice) -> bool:
+    """Record a worker's notice that it leaves and return whether it is new.
 
-    It holds for this life of the worker, whatever its entry says and for how long.
+    The notice holds for this incarnation of the worker, whatever its entry says and
+    however long the entry exists.
     """
     if row.leaving is not None:
         return False
-    row.leaving = word
+    row.leaving = notice
     _mark_leaving(fleet, row.name)
     return True
 
 
 def is_listed_leaving(fleet: Fleet, row: WorkerRow) -> bool:
-    """Tell whether a worker leaves by more than its own answers."""
+    """Return whether a worker leaves by other evidence than its own notice."""
     leaves = row.name in fleet.workers.leaving
     return row.listed_leaving or (leaves and row.leaving is None)
 
 
 def note_replaced(fleet: Fleet, row: WorkerRow) -> None:
-    """Take in that another worker answered at this worker's address: it has ended."""
+    """Record that a worker ended, as another one answered at its address."""
     _mark_leaving(fleet, row.name)
     fleet.workers.invalidate_index()
 
 
 def note_store_answer(fleet: Fleet) -> bool:
-    """Take in that the store answered; return whether it had been away."""
+    """Record an answer of the store and return whether calls had failed before."""
     store = fleet.store
     if store.failing_since < 0:
         return False
@@ -298,7 +303,7 @@
 
 
 def note_store_failure(fleet: Fleet, now: Millis) -> bool:
-    """Take in that a call to the store failed; return whether this is new."""
+    """Record a failed call to the store and return whether it is the first in a row."""
     fleet.store.failed_at = now
     if fleet.store.failing_since >= 0:
         return False
@@ -307,27 +312,29 @@
 
 
 def reader_of(fleet: Fleet, now: Millis) -> BoxId:
-    """Return which box of this failure domain reads the list for the others.
+    """Return the box of this failure domain that reads the list for the others.
 
-    It is the first by name of those heard of late; where boxes disagree, two read.
+    It is the first by name of those recently heard; where boxes disagree, two of them
+    read.
     """
     return _near_heard(fleet, now)[0]
 
 
 def follows_operators(fleet: Fleet, now: Millis) -> bool:
-    """Tell whether this box follows the operators' records itself.
+    """Return whether this box follows the operators' records itself.
 
-    The first boxes by name of each failure domain do, and any that knows no catalog
-    yet; the others hear of records from them.
+    The first boxes by name of each failure domain do, and any box that knows no catalog
+    yet; the others get the records from them.
     """
     return fleet.catalog is None or is_first_near(fleet, now)
 
 
 def is_first_near(fleet: Fleet, now: Millis) -> bool:
-    """Tell whether this box is one of the first by name of its failure domain.
+    """Return whether this box is one of the first by name of its failure domain.
 
-    All boxes of a domain ask its first one in each round, so that one hears all and
-    names them; of the others each hears a few, and would take itself for one.
+    All boxes of a domain exchange state with its first box in each round, so the first
+    box hears all of them and names the followers. Each other box hears only a few and
+    might take itself for one of the first.
     """
     near = _near_heard(fleet, now)
     first = fleet.peers.get(near[0])
@@ -337,9 +344,9 @@
 
 
 def named_followers(fleet: Fleet, now: Millis) -> tuple[BoxId, ...]:
-    """Return the first boxes of this failure domain, if this one is to name them.
+    """Return the first boxes of this failure domain, if this box is to name them.
 
-    It is while it is the first by name itself; else nobody is named.
+    It names them while it is the first by name itself; otherwise the result is empty.
     """
     near = _near_heard(fleet, now)
     if near[0] != fleet.identity.box:
@@ -348,10 +355,10 @@
 
 
 def _near_heard(fleet: Fleet, now: Millis) -> list[BoxId]:
-    """Return this box and those of its failure domain heard of late, by name.
+    """Return this box and the recently heard boxes of its failure domain, by name.
 
-    Boxes that the store does not serve are left out, unless it does not serve this one
-    either: then few of them should go on trying.
+    Boxes that the store does not serve are left out, unless it does not serve this box
+    either: then only few of them should keep calling the store.
     """
     served = is_served(fleet, now)
     near = [
@@ -365,13 +372,13 @@
 
 
 def is_served(fleet: Fleet, now: Millis) -> bool:
-    """Tell whether the store serves this box, as far as its newest calls tell."""
+    """Return whether the store serves this box, by the outcome of its newest calls."""
     store = fleet.store
     return store.failing_since < 0 or now >= store.failed_at + REFUSED_MS
 
 
 def must_read(fleet: Fleet, now: Millis, draining_ms: int) -> bool:
-    """Tell whether this box reads the list itself now."""
+    """Return whether this box must read the list itself now."""
     if fleet.workers_read_at < 0 or reader_of(fleet, now) == fleet.identity.box:
         return True
     if now - fleet.workers_read_at <= OLD_PART * draining_ms:
@@ -382,9 +389,9 @@
 
 
 def list_digest(fleet: Fleet) -> int:
-    """Return a number that is alike for lists that say the same; 0 for none.
+    """Return a number that is equal for lists with the same contents; 0 without a list.
 
-    Workers whose entries lapsed are left out: each box waits for them by itself.
+    Workers whose entries expired are left out: each box waits for them by itself.
     """
     if fleet.workers_read_at < 0:
         return 0
@@ -394,10 +401,10 @@
 
 
 def _digest(fleet: Fleet) -> int:
-    said = sorted(
+    contents = sorted(
         f"{row.incarnation} {row.address} {row.service} {sorted(row.versions)} "
         f"{is_listed_leaving(fleet, row)} {row.listed_cold}"
         for row in fleet.workers.rows.values()
         if row.name not in fleet.missing_workers
     )
-    return zlib.crc32("\n".join(said).encode()) or 1
+    return zlib.crc32("\n".join(contents).encode()) or 1
--- a/src/spanshunt/systems/forgetting.py
+++ b/src/spanshunt/systems/forgetting.py
@@ -1,4 +1,4 @@
-"""Dropping what is too old to count, every few seconds."""
+"""Periodic removal of rows that are too old to count."""
 
 from ..ids import Millis
 from ..tables.fleet import Fleet
@@ -9,7 +9,7 @@
 
 
 def forget_old(fleet: Fleet, now: Millis) -> None:
-    """Drop waits that are over and answers of versions that succeeded long ago."""
+    """Drop expired reports and breaks, old suspect contents and old epochs."""
     expire_peer_prefill(fleet, now)
     forget_breaks(fleet, now)
     forget_suspects(fleet, now)
--- a/src/spanshunt/systems/gossip.py
+++ b/src/spanshunt/systems/gossip.py
@@ -1,7 +1,8 @@
-"""Gossip: what boxes tell each other, and what they make of it.
+"""Gossip: the messages that boxes send each other, and how they are applied.
 
-Bytes a round are bounded whatever the number of boxes: the rows of the own failure
-domain and a sample of the others' go along, and of the evidence only what is news.
+The size of a message does not grow with the number of boxes: it holds a sample of the
+member rows, about half of them from the box's own failure domain, and only the evidence
+that is new to the peer.
 """
 
 import random
@@ -31,26 +32,28 @@
 from .limiting import usage_rows
 
 MEMBERS_A_ROUND = 6
-"""Rows of other boxes in one message."""
+"""Maximum number of rows of other boxes in one message."""
 
 EVIDENCE_A_ROUND = 10
-"""Rows of evidence in one message."""
+"""Maximum number of rows of evidence in one message."""
 
 USAGE_A_ROUND = 6
-"""Rows of usage in one message."""
+"""Maximum number of rows of usage in one message."""
 
 FORGET_MS = 600_000
-"""How long a silent peer's row is kept."""
+"""How long the row of a silent peer is kept, in ms."""
 
 SUSPENSION_MS = 600_000
-"""How long a suspension lasts that the log never confirms."""
+"""How long a suspension lasts that the log never confirms, in ms."""
 
 
-def tell(state: State, to: Incarnation, now: Millis, rng: random.Random) -> Exchange:
-    """Return what to tell a peer."""
-    ticket = state.evidence_sent.get(to, 0)
-    evidence, upto = changes_since(state.evidence, ticket, EVIDENCE_A_ROUND)
-    state.evidence_sent[to] = upto
+def tell(state: State, peer: Incarnation, now: Millis, rng: random.Random) -> Exchange:
+    """Return the message for a peer."""
+    first_change = state.evidence_sent.get(peer, 0)
+    evidence, next_change = changes_since(
+        state.evidence, first_change, EVIDENCE_A_ROUND
+    )
+    state.evidence_sent[peer] = next_change
     usage = usage_rows(state.usage, state.identity.incarnation)
     if len(usage) > USAGE_A_ROUND:
         usage = tuple(rng.sample(usage, USAGE_A_ROUND))
@@ -67,52 +70,52 @@
 
 
 def answer(
-    state: State, asked: Exchange, now: Millis, wall: Millis, rng: random.Random
+    state: State, received: Exchange, now: Millis, wall: Millis, rng: random.Random
 ) -> ExchangeAnswer:
-    """Take in what a peer tells and return the answer to it."""
-    hear(state, asked, now, wall)
-    records, snapshot = records_from(state, asked.sender.offset)
-    told = tell(state, asked.sender.incarnation, now, rng)
-    return ExchangeAnswer(told, records, snapshot)
+    """Apply a peer's message and return the answer to it."""
+    hear(state, received, now, wall)
+    records, snapshot = records_from(state, received.sender.offset)
+    message = tell(state, received.sender.incarnation, now, rng)
+    return ExchangeAnswer(message, records, snapshot)
 
 
-def hear(state: State, told: Exchange, now: Millis, wall: Millis) -> None:
-    """Take in what a peer tells, but for what only an answer can prove."""
-    hear_member(state, told.sender, now)
-    for row in told.members:
+def hear(state: State, message: Exchange, now: Millis, wall: Millis) -> None:
+    """Apply a peer's message, except for what only an answer can prove."""
+    hear_member(state, message.sender, now)
+    for row in message.members:
         hear_member(state, row, now)
-    state.workers.leaving.update(told.leaving)
-    merge_counts(state.evidence, told.evidence, wall)
-    hear_usage(state.usage, told.usage, state.identity.incarnation, now)
-    for suspension in told.suspended:
+    state.workers.leaving.update(message.leaving)
+    merge_counts(state.evidence, message.evidence, wall)
+    hear_usage(state.usage, message.usage, state.identity.incarnation, now)
+    for suspension in message.suspended:
         _hear_suspension(state, suspension, now)
 
 
 def hear_answer(
-    state: State, got: ExchangeAnswer, sent: Millis, now: Millis, wall: Millis
+    state: State, answer: ExchangeAnswer, sent: Millis, now: Millis, wall: Millis
 ) -> None:
-    """Take in the answer to an exchange that this box began at `sent`.
+    """Apply the answer to an exchange that this box began at `sent`.
 
-    Ages in an answer count from `sent`, as the answer was made after it: a packet that
-    was late can only make this box think itself older than it is.
+    Ages in an answer count from `sent`, as the answer was made after it: a late packet
+    can only make this box overestimate the age of its configuration.
     """
-    if got.snapshot is not None:
-        take_snapshot(state, got.snapshot)
-    take_records(state, got.records)
-    hear(state, got.told, now, wall)
-    if state.config.next_offset < got.told.sender.offset:
+    if answer.snapshot is not None:
+        take_snapshot(state, answer.snapshot)
+    take_records(state, answer.records)
+    hear(state, answer.told, now, wall)
+    if state.config.next_offset < answer.told.sender.offset:
         return
-    _note_answer(state, got.told, sent)
-    for row in got.told.members:
+    _note_answer(state, answer.told, sent)
+    for row in answer.told.members:
         if row.witness_age != NEVER and row.offset <= state.config.next_offset:
             _witness(state, row.box, Millis(sent - row.witness_age))
-    if got.told.fresh_age != NEVER:
-        prove_fresh(state, Millis(sent - got.told.fresh_age))
+    if answer.told.fresh_age != NEVER:
+        prove_fresh(state, Millis(sent - answer.told.fresh_age))
     prove_fresh(state, quorum_time(state, now))
 
 
 def own_digest(state: State) -> MemberDigest:
-    """Return this box's own row."""
+    """Return the row that describes this box."""
     return MemberDigest(
         box=state.identity.box,
         domain=state.identity.domain,
@@ -125,37 +128,37 @@
     )
 
 
-def hear_member(state: State, digest: MemberDigest, now: Millis) -> None:
-    """Take in a row; its heartbeat counts only if it rose."""
-    if digest.box == state.identity.box:
+def hear_member(state: State, member: MemberDigest, now: Millis) -> None:
+    """Merge a member's row; its heartbeat counts only if it rose."""
+    if member.box == state.identity.box:
         return
-    row = state.members.rows.get(digest.box)
-    if row is None or row.incarnation != digest.incarnation:
-        if row is not None and digest.incarnation < row.incarnation:
+    row = state.members.rows.get(member.box)
+    if row is None or row.incarnation != member.incarnation:
+        if row is not None and member.incarnation < row.incarnation:
             return
-        state.members.rows[digest.box] = _new_row(digest, now)
+        state.members.rows[member.box] = _new_row(member, now)
         return
-    if digest.heartbeat <= row.heartbeat:
+    if member.heartbeat <= row.heartbeat:
         return
-    row.heartbeat = digest.heartbeat
+    row.heartbeat = member.heartbeat
     row.heard = now
-    row.address = digest.address
-    row.offset = max(row.offset, digest.offset)
-    row.stopping = digest.stopping
+    row.address = member.address
+    row.offset = max(row.offset, member.offset)
+    row.stopping = member.stopping
 
 
 def live_members(state: State, now: Millis, suspect_ms: int) -> list[MemberRow]:
-    """Return the peers heard of within `suspect_ms`."""
+    """Return the peers heard of within the last `suspect_ms`."""
     return [row for row in state.members.rows.values() if now - row.heard <= suspect_ms]
 
 
 def pick_peer(
     state: State, now: Millis, suspect_ms: int, rng: random.Random
 ) -> MemberRow | None:
-    """Return a peer to exchange with: mostly a live one, at times a silent one.
+    """Return a peer to exchange with: mostly a live one, sometimes a silent one.
 
-    Half of the picks are in the own failure domain, where views are whole; the other
-    half carry news between domains.
+    Half of the picks are in the box's own failure domain, so that boxes of a domain
+    know each other fully; the other half carry news between domains.
     """
     rows = list(state.members.rows.values())
     if not rows:
@@ -165,12 +168,12 @@
         return rng.choice(rows)
     near = [row for row in live if row.domain == state.identity.domain]
     far = [row for row in live if row.domain != state.identity.domain]
-    first, second = (near, far) if rng.random() < 0.5 else (far, near)
-    return rng.choice(first or second)
+    preferred, other = (near, far) if rng.random() < 0.5 else (far, near)
+    return rng.choice(preferred or other)
 
 
 def forget_silent(state: State, now: Millis) -> None:
-    """Drop rows of peers that were silent for long and are not listed."""
+    """Drop unlisted peers that were silent for long, and expired suspensions."""
     for box, row in list(state.members.rows.items()):
         if now - row.heard > FORGET_MS and box not in state.members.listed:
             del state.members.rows[box]
@@ -182,16 +185,16 @@
             del state.suspended[version]
 
 
-def _new_row(digest: MemberDigest, now: Millis) -> MemberRow:
+def _new_row(member: MemberDigest, now: Millis) -> MemberRow:
     return MemberRow(
-        box=digest.box,
-        domain=digest.domain,
-        address=digest.address,
-        incarnation=digest.incarnation,
-        heartbeat=digest.heartbeat,
+        box=member.box,
+        domain=member.domain,
+        address=member.address,
+        incarnation=member.incarnation,
+        heartbeat=member.heartbeat,
         heard=now,
-        offset=digest.offset,
-        stopping=digest.stopping,
+        offset=member.offset,
+        stopping=member.stopping,
     )
 
 
@@ -200,13 +203,15 @@
     near = [row for row in rows if row.domain == state.identity.domain]
     far = [row for row in rows if row.domain != state.identity.domain]
     half = MEMBERS_A_ROUND // 2
-    drawn = rng.sample(near, min(len(near), MEMBERS_A_ROUND - min(half, len(far))))
-    drawn += rng.sample(far, min(len(far), MEMBERS_A_ROUND - len(drawn)))
-    return tuple(_digest(row, now) for row in drawn)
+    sample = rng.sample(near, min(len(near), MEMBERS_A_ROUND - min(half, len(far))))
+    sample += rng.sample(far, min(len(far), MEMBERS_A_ROUND - len(sample)))
+    return tuple(_digest(row, now) for row in sample)
 
 
 def _digest(row: MemberRow, now: Millis) -> MemberDigest:
-    age = NEVER if row.witnessed_at == NEVER else Millis(max(0, now - row.witnessed_at))
+    age_ms = (
+        NEVER if row.witnessed_at == NEVER else Millis(max(0, now - row.witnessed_at))
+    )
     return MemberDigest(
         box=row.box,
         domain=row.domain,
@@ -215,17 +220,17 @@
         heartbeat=row.heartbeat,
         offset=row.offset,
         stopping=row.stopping,
-        witness_age=age,
+        witness_age=age_ms,
     )
 
 
-def _note_answer(state: State, told: Exchange, sent: Millis) -> None:
-    row = state.members.rows.get(told.sender.box)
-    if row is None or row.incarnation != told.sender.incarnation:
+def _note_answer(state: State, message: Exchange, sent: Millis) -> None:
+    row = state.members.rows.get(message.sender.box)
+    if row is None or row.incarnation != message.sender.incarnation:
         return
     row.answered_at = max(row.answered_at, sent)
-    row.offset = max(row.offset, told.sender.offset)
-    if told.witness:
+    row.offset = max(row.offset, message.sender.offset)
+    if message.witness:
         row.witnessed_at = max(row.witnessed_at, sent)
 
 
@@ -242,21 +247,24 @@
     )
 
 
-def _hear_suspension(state: State, told: Suspension, now: Millis) -> None:
-    rollout = state.config.rollouts.get(told.rollout)
+def _hear_suspension(state: State, suspension: Suspension, now: Millis) -> None:
+    rollout = state.config.rollouts.get(suspension.rollout)
     if rollout is not None and rollout.state.value == "pulled_back":
         return
-    if told.version not in state.suspended and told.age < SUSPENSION_MS:
-        state.suspended[told.version] = SuspendedRow(
-            told.rollout, told.stage, told.reason, Millis(now - told.age)
+    if suspension.version not in state.suspended and suspension.age < SUSPENSION_MS:
+        state.suspended[suspension.version] = SuspendedRow(
+            suspension.rollout,
+            suspension.stage,
+            suspension.reason,
+            Millis(now - suspension.age),
         )
 
 
 def rank(state: State, duty: str, now: Millis, suspect_ms: int) -> int:
     """Return this box's place among the live ones for a duty that needs no lease.
 
-    The first does it; the others wait their turn, so that it is mostly done once. A
-    duty shared out like this must bear being done twice.
+    The first box performs the duty and the others wait for their turn, so that it is
+    mostly performed once. Such a duty must tolerate being performed twice.
     """
     live = [row.box for row in live_members(state, now, suspect_ms)]
     order = rendezvous(duty, [*live, state.identity.box], len(live) + 1)
--- a/src/spanshunt/systems/invariants.py
+++ b/src/spanshunt/systems/invariants.py
@@ -1,7 +1,8 @@
-"""The promises of the program, asserted at the point of effect.
+"""Invariants of the program, asserted where they take effect.
 
-Each check raises when its promise is about to be broken. The process then hands its
-journal to peers and stops; it never answers wrongly. ``docs/PROMISES.md`` lists them.
+Each check raises an error if its invariant is about to be broken. The process then
+hands its journal to peers and stops, and never sends a wrong answer.
+``docs/PROMISES.md`` lists the invariants.
 """
 
 import collections
@@ -33,14 +34,14 @@
 OWN_ANSWER = "own-whole-answer"
 
 checks: collections.Counter[str] = collections.Counter()
-"""How often each promise was checked in this process."""
+"""How often each invariant was checked in this process."""
 
 
-def check(promise: str, holds: bool, detail: str) -> None:
-    """Count a check of `promise` and raise if it does not hold."""
-    checks[promise] += 1
+def check(invariant: str, holds: bool, detail: str) -> None:
+    """Count a check of `invariant` and raise an error if it does not hold."""
+    checks[invariant] += 1
     if not holds:
-        raise InvariantError(promise, detail)
+        raise InvariantError(invariant, detail)
 
 
 def check_version(config: Config, org: OrgId, version: VersionId) -> None:
@@ -48,7 +49,7 @@
     row = config.versions.get(version)
     owner = config.orgs.get(org)
     allowed = row is not None and owner is not None and owner.allows_version(row)
-    check(ALLOWED, allowed, f"{version} is not allowed to {org}")
+    check(ALLOWED, allowed, f"{version} is not allowed for {org}")
     serving = row is not None and row.state in (
         VersionState.ENTERING,
         VersionState.ACTIVE,
@@ -60,27 +61,31 @@
     """Check that a call of `org` may go to the plain service `service` now."""
     owner = config.orgs.get(org)
     allowed = owner is not None and owner.allows_service(service)
-    check(ALLOWED, allowed, f"{service} is not allowed to {org}")
+    check(ALLOWED, allowed, f"{service} is not allowed for {org}")
 
 
 def check_worker(workers: Workers, worker: WorkerId) -> None:
-    """Check that a worker that leaves gets no new work."""
+    """Check that a leaving worker gets no new requests."""
     check(LEAVING, worker not in workers.leaving, f"{worker} is leaving")
 
 
 def check_session(
-    config: Config, org: OrgId, pin: VersionId, version: VersionId
+    config: Config, org: OrgId, pinned: VersionId, version: VersionId
 ) -> None:
-    """Check that a session leaves its version only when it may not stay."""
-    row = config.versions.get(pin)
+    """Check that a session changes its version only when it may not stay."""
+    row = config.versions.get(pinned)
     owner = config.orgs.get(org)
-    gone = (
+    may_not_stay = (
         row is None
         or owner is None
         or not owner.allows_version(row)
         or row.state is VersionState.WITHDRAWN
     )
-    check(SESSION, pin == version or gone, f"session on {pin} sent to {version}")
+    check(
+        SESSION,
+        pinned == version or may_not_stay,
+        f"session on {pinned} sent to {version}",
+    )
 
 
 def check_claim(table: ClaimTable, key: str, request: RequestId) -> None:
@@ -94,13 +99,17 @@
 
 
 def check_not_run(started: int, request: RequestId) -> None:
-    """Check that a refusal that says "not run" is true."""
-    check(NOT_RUN, started == 0, f"{request} was sent {started} times, said not run")
+    """Check that a request that is refused as not run was never sent."""
+    check(
+        NOT_RUN,
+        started == 0,
+        f"{request} was sent {started} times, but is refused as not run",
+    )
 
 
 def check_offset(held: Offset, offered: Offset) -> None:
     """Check that the configuration never goes back."""
-    check(NEVER_REVERTS, offered >= held, f"offset {offered} put over {held}")
+    check(NEVER_REVERTS, offered >= held, f"offset {offered} would replace {held}")
 
 
 def check_bill(
--- a/src/spanshunt/systems/journaling.py
+++ b/src/spanshunt/systems/journaling.py
@@ -1,4 +1,4 @@
-"""Bills on their way to the log: sealed, copied, appended, taken over."""
+"""Bills on their way to the log: recorded, copied to peers, appended and taken over."""
 
 import typing as t
 
@@ -29,26 +29,30 @@
 from ..utils import digest
 
 BATCH_ENTRIES = 2_000
-"""Entries in one record of the log; at some 250 bytes each this is 0.5 MB."""
+"""Maximum number of entries in one record of the log; at some 250 bytes each, this is
+0.5 MB."""
 
 COVERAGE_MS = 7 * 86_400_000
-"""How long after its last bill an incarnation's entries may still come again."""
+"""How long after the last bill of an incarnation its entries may arrive again, in
+ms."""
 
 TOKENS_PER_PRICE = 1_000
-"""Prices are for this many tokens."""
+"""Number of tokens that a price is for."""
 
 
 class OwnerGone(t.Protocol):
-    """Tells whether an incarnation is known to be gone for good, or silent too long."""
+    """Tells whether an incarnation is known to be gone, or was silent for too long."""
 
     def __call__(self, incarnation: Incarnation, heard: Millis) -> bool:
-        """Return True if its copies must be appended by whoever holds them."""
+        """Return True if the holders of its copies must append them."""
 
 
 def price(version: VersionRow, prompt_tokens: int, output_tokens: int) -> Usage:
-    """Return what an attempt on `version` used, with its price rounded up."""
-    whole = prompt_tokens * version.prompt_price + output_tokens * version.output_price
-    cost = -(-whole // TOKENS_PER_PRICE)
+    """Return the usage of an attempt on `version`, with its price rounded up."""
+    scaled_cost = (
+        prompt_tokens * version.prompt_price + output_tokens * version.output_price
+    )
+    cost = -(-scaled_cost // TOKENS_PER_PRICE)
     return Usage(
         version=t.cast("t.Any", version.name),
         prompt_tokens=prompt_tokens,
@@ -58,7 +62,7 @@
 
 
 def call_usage(service: ServiceRow) -> Usage:
-    """Return what one call of a plain service used."""
+    """Return the usage of one call of a plain service."""
     return Usage(t.cast("t.Any", ""), 0, 0, service.call_price)
 
 
@@ -70,7 +74,7 @@
     at: Millis,
     usage: tuple[Usage, ...],
 ) -> BillEntry:
-    """Give the bill of a request its number and keep it."""
+    """Assign a sequence number to the bill of a request and add it to the journal."""
     entry = BillEntry(journal.next_seq, request, org, service, at, usage)
     journal.next_seq += 1
     journal.open[entry.seq] = entry
@@ -78,26 +82,26 @@
 
 
 def next_batch(journal: Journal) -> Bills | None:
-    """Return the oldest own entries that are not on the log, None if there are none."""
+    """Return the oldest own entries that are not on the log, or None."""
     if not journal.open:
         return None
-    first = sorted(journal.open)[:BATCH_ENTRIES]
-    entries = tuple(journal.open[seq] for seq in first)
+    seqs = sorted(journal.open)[:BATCH_ENTRIES]
+    entries = tuple(journal.open[seq] for seq in seqs)
     return Bills((JournalPart(journal.incarnation, entries),))
 
 
 def orphan_batch(journal: Journal, gone: OwnerGone) -> Bills | None:
-    """Return the copies whose owners are gone, None if there are none."""
+    """Return the copies whose owners are gone, or None if there are none."""
     parts = []
-    room = BATCH_ENTRIES
+    remaining = BATCH_ENTRIES
     for incarnation, copies in sorted(journal.copies.items()):
-        if room == 0 or not copies.entries or not gone(incarnation, copies.heard):
+        if remaining == 0 or not copies.entries or not gone(incarnation, copies.heard):
             continue
-        first = sorted(copies.entries)[:room]
+        seqs = sorted(copies.entries)[:remaining]
         parts.append(
-            JournalPart(incarnation, tuple(copies.entries[seq] for seq in first))
+            JournalPart(incarnation, tuple(copies.entries[seq] for seq in seqs))
         )
-        room -= len(first)
+        remaining -= len(seqs)
     return Bills(tuple(parts)) if parts else None
 
 
@@ -113,7 +117,10 @@
 
 
 def first_open(journal: Journal) -> int:
-    """Return the first own seq that is not on the log; all before it are."""
+    """Return the first own sequence number that is not on the log.
+
+    All numbers before it are on the log.
+    """
     return min(journal.open, default=journal.next_seq)
 
 
@@ -124,7 +131,7 @@
     settled: int,
     now: Millis,
 ) -> None:
-    """Hold copies for `owner`; drop those before `settled`, which are on the log."""
+    """Store copies for `owner` and drop those before `settled`, which are logged."""
     copies = journal.copies.setdefault(owner, JournalCopy())
     copies.heard = now
     for entry in entries:
@@ -134,14 +141,14 @@
 
 
 def forget_empty(journal: Journal, gone: OwnerGone) -> None:
-    """Drop the rows of owners that are gone and have nothing left here."""
+    """Drop the rows of owners that are gone and whose entries are all on the log."""
     for incarnation, copies in list(journal.copies.items()):
         if not copies.entries and gone(incarnation, copies.heard):
             del journal.copies[incarnation]
 
 
 def fold_bills(fold: BillFold, bills: Bills) -> tuple[BillEntry, ...]:
-    """Count the entries of one record; return those that were new."""
+    """Count the entries of one record and return those that were new."""
     fresh = []
     for part in bills.parts:
         coverage = fold.covered.setdefault(part.incarnation, Coverage())
@@ -156,9 +163,9 @@
 
 
 def fold_bill_record(fold: BillFold, record: LogRecord) -> None:
-    """Fold one record of the bills stream; snapshots say nothing new to the fold.
+    """Fold one record of the bills stream; snapshots add nothing to the fold.
 
-    A record before ``fold.next_offset`` was folded already and is passed over.
+    A record before ``fold.next_offset`` was folded before and is skipped.
     """
     if record.offset < fold.next_offset:
         return
@@ -171,27 +178,30 @@
 
 
 def newest_bill_fold(records: t.Iterable[LogRecord]) -> BillFold | None:
-    """Return the fold of the newest sound snapshot among `records`."""
-    found: BillFold | None = None
+    """Return the fold of the newest snapshot with a matching hash among `records`."""
+    newest: BillFold | None = None
     for record in records:
         match decode_record(record.data):
             case Ok(BillsSnapshot(fold=fold, hash=hash_)) if digest(fold) == hash_:
-                found = fold
+                newest = fold
             case _:
                 pass
-    return found
+    return newest
 
 
 def bill_snapshot(fold: BillFold) -> BillsSnapshot:
-    """Return a snapshot of the fold, less what can't come again."""
+    """Return a snapshot of the fold, without incarnations whose bills are all old.
+
+    Their entries can't arrive again.
+    """
     newest = max((row.latest for row in fold.covered.values()), default=Millis(0))
     covered = {
         incarnation: row
         for incarnation, row in fold.covered.items()
         if newest - row.latest < COVERAGE_MS
     }
-    kept = msgspec.structs.replace(fold, covered=covered)
-    return BillsSnapshot(fold=kept, hash=digest(kept))
+    trimmed = msgspec.structs.replace(fold, covered=covered)
+    return BillsSnapshot(fold=trimmed, hash=digest(trimmed))
 
 
 def _count(fold: BillFold, entry: BillEntry) -> None:
--- a/src/spanshunt/systems/planner.py
+++ b/src/spanshunt/systems/planner.py
@@ -1,4 +1,4 @@
-"""The planner: intents in, a plan out. It changes nothing."""
+"""The planner: makes a plan from intents without changing the configuration."""
 
 import itertools
 import typing as t
@@ -47,7 +47,7 @@
 
 
 class IntentProblem(msgspec.Struct, frozen=True):
-    """Why an intent can't be planned: field, and what is allowed."""
+    """Why an intent can't be planned: its field, and what is allowed there."""
 
     field: str
     problem: str
@@ -65,16 +65,16 @@
     read: set[ObjectKey] = set()
     for index, intent in enumerate(intents):
         match _plan_one(draft, intent, read):
-            case Ok(some):
-                changes.extend(some)
+            case Ok(more):
+                changes.extend(more)
             case Err(problem):
                 field = f"$.intents[{index}].{problem.field}"
                 return Err(IntentProblem(field, problem.problem))
     touched = read | {change.key for change in changes}
     base = {key: int(config.revision(key)) for key in sorted(touched)}
-    kept = tuple(changes)
-    name = PlanId(digest([kept, base]))
-    return Ok(Plan(name=name, changes=kept, base=base, notes=_notes(draft, kept)))
+    planned = tuple(changes)
+    name = PlanId(digest([planned, base]))
+    return Ok(Plan(name=name, changes=planned, base=base, notes=_notes(draft, planned)))
 
 
 def _plan_one(draft: Config, intent: Intent, read: set[ObjectKey]) -> Planned:
@@ -154,8 +154,8 @@
     if row is None:
         return Err(_unknown("org", intent.org, list(draft.orgs)))
     if isinstance(intent, AllowVersions):
-        more = tuple(name for name in intent.allowed if name not in row.allowed)
-        allowed = row.allowed + more
+        added = tuple(name for name in intent.allowed if name not in row.allowed)
+        allowed = row.allowed + added
     else:
         absent = [name for name in intent.allowed if name not in row.allowed]
         if absent:
@@ -183,14 +183,14 @@
         if not _is_known(draft, name):
             known = sorted({*draft.services, *draft.versions, *_models(draft)})
             return Err(_unknown(field, name, known))
-    taken = {
+    used = {
         secret
         for other in draft.orgs.values()
         if other.name != row.name
         for secret in other.credentials
     }
-    if taken & set(row.credentials):
-        problem = "a credential is in use already; give one that nobody has"
+    if used & set(row.credentials):
+        problem = "a credential is already in use; choose another one"
         return Err(IntentProblem("credentials", problem))
     draft.orgs[OrgId(row.name)] = row
     return Ok([PutOrg(row)])
@@ -225,7 +225,9 @@
     if version is None:
         return Err(_unknown("version", intent.version, list(draft.versions)))
     if version.state is not VersionState.DECLARED:
-        problem = f"{version.name} is {version.state.value}; only a declared one enters"
+        problem = (
+            f"{version.name} is {version.state.value}; only a declared one can enter"
+        )
         return Err(IntentProblem("version", problem))
     read.add(service_key(ServiceId(version.service)))
     guards = intent.guards or GuardRails()
@@ -242,7 +244,7 @@
     if version is None:
         return Err(_unknown("version", intent.version, list(draft.versions)))
     if version.state is VersionState.WITHDRAWN:
-        return Err(IntentProblem("version", f"{version.name} is withdrawn already"))
+        return Err(IntentProblem("version", f"{version.name} is already withdrawn"))
     withdrawn = msgspec.structs.replace(version, state=VersionState.WITHDRAWN)
     draft.versions[VersionId(version.name)] = withdrawn
     return Ok([WithdrawVersion(VersionId(version.name))])
@@ -252,18 +254,18 @@
     stages = guards.stages
     rising = all(low < high for low, high in itertools.pairwise(stages))
     if not stages or not rising or stages[0] <= 0 or stages[-1] != 1.0:
-        return f"{list(stages)}: shares must rise from above 0 and end with 1"
+        return f"{list(stages)}: shares must increase from above 0 to 1"
     return ""
 
 
 def _notes(draft: Config, changes: tuple[Change, ...]) -> tuple[str, ...]:
-    notes = [change.describe() for change in changes]
+    lines = [change.describe() for change in changes]
     for change in changes:
         if isinstance(change, WithdrawVersion):
-            notes.extend(_withdrawal_warnings(draft, change.version))
+            lines.extend(_withdrawal_warnings(draft, change.version))
         if isinstance(change, StartRollout):
-            notes.append(_least_time(change.guards))
-    return tuple(notes)
+            lines.append(_least_time(change.guards))
+    return tuple(lines)
 
 
 def _withdrawal_warnings(draft: Config, name: VersionId) -> list[str]:
@@ -287,7 +289,7 @@
 def _least_time(guards: GuardRails) -> str:
     seconds = len(guards.stages) * guards.stage_ms / 1000
     ratings = len(guards.stages) * guards.stage_ratings
-    return f"a clean roll-out takes at least {seconds:.0f} s and {ratings} ratings"
+    return f"a successful roll-out takes at least {seconds:.0f} s, {ratings} ratings"
 
 
 def _is_known(draft: Config, name: str) -> bool:
--- a/src/spanshunt/systems/proving.py
+++ b/src/spanshunt/systems/proving.py
@@ -1,9 +1,9 @@
-"""How old a box's proof is that the catalog which it knows is the newest.
+"""The age of the proof that the catalog known to this box is the newest.
 
-A reading of the operators' records that reached their end proves it as of the moment at
-which the reading began. Boxes tell each other their proofs. A proof grows old where
-every read that waits for records is on a dead connection, or where this box hears of no
-reading; then it is renewed by a short probe of the records' end on a new connection.
+A read of the operators' records that reached their end proves it as of the time when
+the read began. Boxes send each other their proofs. A proof grows old where every long
+poll for records is on a dead connection, or where this box hears of no read; then it is
+renewed by a short probe of the end of the records on a new connection.
 """
 
 from ..ids import Millis
@@ -15,29 +15,30 @@
 from .following_workers import reader_of
 
 FIRST_PART, READER_PART, OWN_PART = 0.35, 0.6, 0.75
-"""How old a proof may grow before it is renewed, in parts of the time within which a
-change must be in force: by the first box of all that hear each other, whose own read
-ends before that, by the first of each failure domain, and by any box. So one box proves
-it for the fleet, however large that is; a domain or a box that is cut off from it
-probes for itself, and what it finds is in force in time."""
+"""Ages at which a proof is renewed, as fractions of the time within which a change must
+be in force: by the first box of all that hear each other, by the first box of each
+failure domain, and by any box. The long poll of the first box ends before its age is
+reached. So one box proves the catalog for the fleet, however large that is; a domain or
+a box that is cut off from it probes for itself, and what it finds is in force in
+time."""
 
 PROBE_PART = 0.2
-"""Longest that a probe may take, as a part of the same time: a slow store answers
-within it, and a second probe still fits in."""
+"""Time limit of a probe, as a fraction of the same time: a slow store answers within
+it, and a second probe still fits in."""
 
 FINAL_PART = 0.5
-"""A proof older than this part of the same time is renewed before a request is refused
-for good: nearly all are younger while boxes hear each other."""
+"""A proof older than this fraction of the same time is renewed before a request is
+refused for good: nearly all proofs are younger while boxes hear each other."""
 
 
 def prove_catalog(fleet: Fleet, at: Millis, end: Offset) -> None:
-    """Take in that this box read all records up to `end`, beginning at `at`."""
+    """Record that this box read all records up to `end` in a read begun at `at`."""
     if at > fleet.catalog_proof.at:
         fleet.catalog_proof = CatalogProof(at, end, fleet.identity.box)
 
 
 def take_told_proof(fleet: Fleet, version: int, told: CatalogProof) -> None:
-    """Take in a peer's proof for a catalog's version, if this box has that one."""
+    """Merge a peer's proof for a catalog version, if this box has that version."""
     if told.source < fleet.identity.box:
         fleet.preceding_box_proof_at = max(fleet.preceding_box_proof_at, told.at)
     if version == fleet.catalog_version and told.at > fleet.catalog_proof.at:
@@ -45,26 +46,29 @@
 
 
 def proof_age(fleet: Fleet, now: Millis) -> Millis:
-    """Return how old the proof is, in ms; -1 for none."""
+    """Return the age of the proof in ms; -1 for none."""
     proof = fleet.catalog_proof
     return Millis(now - proof.at if proof.at >= 0 else -1)
 
 
 def newest_told(fleet: Fleet) -> int:
-    """Return the newest catalog's version that any peer told of; -1 for none."""
+    """Return the newest catalog version that any peer reports; -1 for none."""
     return max((peer.catalog_version for peer in fleet.peers.values()), default=-1)
 
 
 def is_proved(fleet: Fleet, now: Millis, most_ms: float) -> bool:
-    """Tell whether the catalog was the newest at most so long ago, by all it heard."""
+    """Return whether the catalog was the newest within the last `most_ms`.
+
+    It was not if a peer reports a newer version.
+    """
     age = proof_age(fleet, now)
     return 0 <= age <= most_ms and newest_told(fleet) <= fleet.catalog_version
 
 
 def is_first(fleet: Fleet, now: Millis, in_force_ms: int) -> bool:
-    """Tell whether this box proves the catalog for the fleet.
+    """Return whether this box proves the catalog for the fleet.
 
-    The first one by name does of those that are heard and served. In a large fleet a
+    The first box by name of those that are heard and served does. In a large fleet a
     box hears few others: it is not the first while one before it proves.
     """
     proved = fleet.preceding_box_proof_at
@@ -78,10 +82,10 @@
 
 
 def must_probe(fleet: Fleet, now: Millis, in_force_ms: int) -> bool:
-    """Tell whether this box is to renew the proof now.
+    """Return whether this box must renew the proof now.
 
-    While the store does not serve it, readings of the workers' list find out when it
-    does again.
+    While the store does not serve it, reads of the workers' list find out when the
+    store is back.
     """
     age = proof_age(fleet, now)
     if fleet.catalog is None or age < FIRST_PART * in_force_ms:
