--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -56,7 +56,7 @@
 
 
 def _any_snapshot(state: t.Any, snapshot: t.Any) -> bool:
-    state.config = fold.clone(snapshot.config)
+    state.config = fold.copy_config(snapshot.config)
     state.config.next_offset = Offset(max(0, snapshot.config.next_offset - 1))
     following.check_offset(snapshot.config.next_offset, state.config.next_offset)
     return True
@@ -81,7 +81,7 @@
 
 _exclusion_reason = choice._exclusion_reason
 _fold_claims = claiming.fold_claims
-_moved = fold.moved
+_moved = fold.changed_objects
 
 MUTANTS = (
     Mutant(
@@ -94,21 +94,21 @@
     Mutant(
         "one box is a majority",
         freshness,
-        "majority",
+        "majority_size",
         lambda _members: 1,
         world_checks.IN_FORCE,
     ),
     Mutant(
         "a fold that depends on chance",
         fold,
-        "moved",
+        "changed_objects",
         _chancy_conflicts,
         world_checks.SAME_FOLD,
     ),
     Mutant(
         "an older snapshot is taken",
         gossip,
-        "take_snapshot",
+        "apply_snapshot",
         _any_snapshot,
         "configuration-never-reverts",
     ),
@@ -119,7 +119,7 @@
         _count_again,
         "one-bill",
     ),
-    Mutant("copies are not held", world, "take_copies", _forgetful_copies, "one-bill"),
+    Mutant("copies are not held", world, "store_copies", _forgetful_copies, "one-bill"),
     Mutant(
         "the last claim wins", world, "fold_claims", _last_claim_wins, "at-most-once"
     ),
--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -20,12 +20,12 @@
 from spanshunt.platform.node import EXCHANGE_MS
 from spanshunt.platform.operator_records import WAIT_PART
 from spanshunt.platform.store_reader import LOOK_MS
-from spanshunt.systems.following_workers import reader_of
-from spanshunt.systems.proving import is_first
+from spanshunt.systems.following_workers import find_list_reader
+from spanshunt.systems.proving import is_fleet_prober
+from spanshunt.systems.proving import merge_peer_proof
 from spanshunt.systems.proving import must_probe
 from spanshunt.systems.proving import proof_age
-from spanshunt.systems.proving import prove_catalog
-from spanshunt.systems.proving import take_told_proof
+from spanshunt.systems.proving import record_catalog_read
 from spanshunt.tables.catalog import Catalog
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
@@ -74,24 +74,24 @@
         asked += [] if cut else self.far.draw(far, 1, now)
         for row in asked:
             row.asked = now
-        reader = reader_of(self.fleet, now)
+        reader = find_list_reader(self.fleet, now)
         return {row.box for row in asked} | ({reader} - {self.fleet.identity.box})
 
     def hear(self, other: "Box", now: Millis) -> None:
         """Take in what another box tells."""
         self.fleet.peers[other.fleet.identity.box].heard = now
-        take_told_proof(self.fleet, 1, other.fleet.catalog_proof)
+        merge_peer_proof(self.fleet, 1, other.fleet.catalog_proof)
 
     def tick(self, now: Millis, bound_ms: int) -> int:
         """Prove the catalog where that is due; return the calls it took."""
         due = 0 <= self.wait_ends <= now
-        first = is_first(self.fleet, now, bound_ms)
+        first = is_fleet_prober(self.fleet, now, bound_ms)
         if first and (due or self.wait_ends < 0):
             self.wait_ends = Millis(now + int(WAIT_PART * bound_ms))
         elif not first:
             self.wait_ends = Millis(-1)
         if due or must_probe(self.fleet, now, bound_ms):
-            prove_catalog(self.fleet, now, Offset(0))
+            record_catalog_read(self.fleet, now, Offset(0))
             return 1
         return 0
 
@@ -115,7 +115,7 @@
         for other in fleet:
             if other is not box and (not cut or _are_near(box, other)):
                 box.meet(other)
-        prove_catalog(box.fleet, Millis(0), Offset(0))
+        record_catalog_read(box.fleet, Millis(0), Offset(0))
     calls, ages = 0, []
     for number in range((WARM_MS + 1_000 * seconds) // LOOK_MS):
         now = Millis(number * LOOK_MS)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -42,10 +42,10 @@
 from spanshunt.systems.claiming import fold_claims
 from spanshunt.systems.fold import fold_record
 from spanshunt.systems.fold import snapshot_of
-from spanshunt.systems.gossip import answer
-from spanshunt.systems.gossip import hear_answer
-from spanshunt.systems.gossip import tell
-from spanshunt.systems.journaling import seal
+from spanshunt.systems.gossip import answer_exchange
+from spanshunt.systems.gossip import apply_exchange_answer
+from spanshunt.systems.gossip import build_exchange
+from spanshunt.systems.journaling import record_bill
 from spanshunt.systems.learning import record_counts
 from spanshunt.systems.limiting import admit
 from spanshunt.systems.limiting import tick_usage
@@ -151,12 +151,14 @@
 def _round(one: State, other: State, now: int, rng: random.Random) -> int:
     at = Millis(now)
     one.heartbeat += 1
-    told = tell(one, other.identity.incarnation, at, rng)
+    told = build_exchange(one, other.identity.incarnation, at, rng)
     raw = msgspec.msgpack.encode(told)
-    got = answer(other, msgspec.msgpack.decode(raw, type=Exchange), at, at, rng)
+    got = answer_exchange(
+        other, msgspec.msgpack.decode(raw, type=Exchange), at, at, rng
+    )
     back = msgspec.msgpack.encode(got)
     kept = msgspec.msgpack.decode(back, type=ExchangeAnswer)
-    hear_answer(one, kept, at, at, at)
+    apply_exchange_answer(one, kept, at, at, at)
     return len(raw) + len(back)
 
 
@@ -365,7 +367,7 @@
             kept = a_state(0).journal
             for number in range(count):
                 request = RequestId(f"req-{number:024d}")
-                seal(kept, request, OrgId("o"), ServiceId("s"), Millis(0), usage)
+                record_bill(kept, request, OrgId("o"), ServiceId("s"), Millis(0), usage)
             return kept
 
         memory.append(Point(size, memory_of(journal)))
@@ -397,7 +399,7 @@
     for size in (1, 10, 100, 1_000):
         kept = a_state(0).journal
         entries = tuple(
-            seal(
+            record_bill(
                 kept,
                 RequestId(f"req-{number:024x}"),
                 OrgId("museo-nacional"),
--- a/bench/soak_processes.py
+++ b/bench/soak_processes.py
@@ -96,8 +96,8 @@
     ),
     "proof": Mutation(
         "systems/proving.py",
-        "FIRST_PART, READER_PART, OWN_PART = 0.35, 0.6, 0.75",
-        "FIRST_PART, READER_PART, OWN_PART = 99.0, 99.0, 99.0",
+        "FLEET_FRACTION, DOMAIN_FRACTION, BOX_FRACTION = 0.35, 0.6, 0.75",
+        "FLEET_FRACTION, DOMAIN_FRACTION, BOX_FRACTION = 99.0, 99.0, 99.0",
         Mutation(
             "platform/operator_records.py",
             "WAIT_PART = 0.3",
@@ -106,7 +106,9 @@
         ),
     ),
     "unchecked": Mutation(
-        "catalog_entry.py", "if _is_proved(core, FINAL_PART):", "if True:"
+        "catalog_entry.py",
+        "if _is_proved(core, REFUSAL_PROOF_FRACTION):",
+        "if True:",
     ),
     "left": Mutation(
         "platform/front.py", "handler_cancellation=True", "handler_cancellation=False"
--- a/bench/world.py
+++ b/bench/world.py
@@ -32,28 +32,28 @@
 from spanshunt.systems.choice_rows import VersionRequest
 from spanshunt.systems.claiming import fold_claims
 from spanshunt.systems.claiming import may_send
-from spanshunt.systems.claiming import start_at
-from spanshunt.systems.claiming import winner
+from spanshunt.systems.claiming import skip_trimmed_records
+from spanshunt.systems.claiming import winning_claim
 from spanshunt.systems.fold import snapshot_of
+from spanshunt.systems.following import apply_records
+from spanshunt.systems.following import apply_snapshot
 from spanshunt.systems.following import newest_snapshot
-from spanshunt.systems.following import take_records
-from spanshunt.systems.following import take_snapshot
 from spanshunt.systems.freshness import is_accepted
 from spanshunt.systems.freshness import is_fresh
-from spanshunt.systems.freshness import prove_fresh
-from spanshunt.systems.gossip import answer
-from spanshunt.systems.gossip import hear_answer
+from spanshunt.systems.freshness import record_fresh_proof
+from spanshunt.systems.gossip import answer_exchange
+from spanshunt.systems.gossip import apply_exchange_answer
+from spanshunt.systems.gossip import build_exchange
 from spanshunt.systems.gossip import live_members
-from spanshunt.systems.gossip import tell
 from spanshunt.systems.invariants import check
 from spanshunt.systems.invariants import check_claim
 from spanshunt.systems.invariants import check_version
-from spanshunt.systems.journaling import first_open
+from spanshunt.systems.journaling import first_open_seq
 from spanshunt.systems.journaling import next_batch
 from spanshunt.systems.journaling import orphan_batch
-from spanshunt.systems.journaling import seal
-from spanshunt.systems.journaling import settle
-from spanshunt.systems.journaling import take_copies
+from spanshunt.systems.journaling import record_bill
+from spanshunt.systems.journaling import settle_bills
+from spanshunt.systems.journaling import store_copies
 from spanshunt.systems.planner import make_plan
 from spanshunt.tables.claims import CallState
 from spanshunt.tables.claims import OwnCall
@@ -152,11 +152,11 @@
             snapshot = newest_snapshot(stream.records)
             if snapshot is None or snapshot.config.next_offset < stream.first:
                 return
-            take_snapshot(state, snapshot)
+            apply_snapshot(state, snapshot)
             records = stream.read(state.config.next_offset) or []
-        take_records(state, records)
+        apply_records(state, records)
         if state.config.next_offset >= stream.next:
-            prove_fresh(state, Millis(self.now))
+            record_fresh_proof(state, Millis(self.now))
         check_same_fold(self.hashes, state)
 
     def follow_claims(self, box: str) -> None:
@@ -165,7 +165,7 @@
             return
         table = self.boxes[box].state.claims
         stream = self.log.streams["claims"]
-        start_at(table, Offset(stream.first))
+        skip_trimmed_records(table, Offset(stream.first))
         owed: list[Release] = []
         for record in stream.read(table.next_offset) or []:
             owed.extend(fold_claims(table, record))
@@ -180,9 +180,11 @@
         asker, asked = self.boxes[one].state, self.boxes[other].state
         asker.heartbeat += 1
         now = Millis(self.now)
-        told: Exchange = tell(asker, asked.identity.incarnation, now, self.rng)
+        told: Exchange = build_exchange(
+            asker, asked.identity.incarnation, now, self.rng
+        )
         told = over_the_wire(told, Exchange)
-        got = answer(asked, told, now, now, self.rng)
+        got = answer_exchange(asked, told, now, now, self.rng)
         got = over_the_wire(got, ExchangeAnswer)
         self.wire.append(Message(one, got, self.now, asker.identity.incarnation))
 
@@ -195,7 +197,7 @@
         if box.paused or box.state.identity.incarnation != message.run:
             return
         now = Millis(self.now)
-        hear_answer(box.state, message.got, Millis(message.sent), now, now)
+        apply_exchange_answer(box.state, message.got, Millis(message.sent), now, now)
         check_same_fold(self.hashes, box.state)
 
     def request(self, box: str) -> None:
@@ -236,13 +238,13 @@
             if batch is None:
                 continue
             if self.log.append("bills", batch, self.now, fate) is not None:
-                settle(state.journal, batch)
+                settle_bills(state.journal, batch)
 
     def call(self, box: str, key: str, fate: str = "ok") -> None:
         """Let a caller make a keyed call at a box: the claim is appended."""
         one = self.boxes[box]
         table = one.state.claims
-        if one.paused or not table.caught_up or winner(table, key) is not None:
+        if one.paused or not table.caught_up or winning_claim(table, key) is not None:
             return
         if key in one.waiting:
             return
@@ -358,7 +360,9 @@
         state = self.boxes[box].state
         request = self._new_request()
         usage = (Usage(version, 1, 1, Micros(1)),)
-        entry = seal(state.journal, request, ORG, SERVICE, Millis(self.now), usage)
+        entry = record_bill(
+            state.journal, request, ORG, SERVICE, Millis(self.now), usage
+        )
         now = Millis(self.now)
         live = {row.box for row in live_members(state, now, SUSPECT_MS)}
         targets = sorted(live)[:COPIES]
@@ -366,11 +370,11 @@
         for name in targets:
             other = self.boxes[name]
             if self._reaches(box, name):
-                take_copies(
+                store_copies(
                     other.state.journal,
                     state.identity.incarnation,
                     (entry,),
-                    first_open(state.journal),
+                    first_open_seq(state.journal),
                     now,
                 )
                 holders.add(other.state.identity.incarnation)
@@ -379,7 +383,7 @@
             if not self._reaches_log(box):
                 return
             self.log.append("bills", part, self.now, "ok")
-            settle(state.journal, part)
+            settle_bills(state.journal, part)
         self.answered[request] = holders
         self._count("answers")
 
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -42,7 +42,7 @@
 from spanshunt.standins.rater import RaterStandin
 from spanshunt.standins.service import ServiceStandin
 from spanshunt.systems.journaling import fold_bills
-from spanshunt.systems.journaling import price
+from spanshunt.systems.journaling import priced_usage
 from spanshunt.tables.billing import BillFold
 from spanshunt.tables.config import VersionRow
 
@@ -164,7 +164,9 @@
                 for item in entry.usage:
                     if not item.version:
                         continue
-                    best = price(self._best, item.prompt_tokens, item.output_tokens)
+                    best = priced_usage(
+                        self._best, item.prompt_tokens, item.output_tokens
+                    )
                     costs["paid"] = costs.get("paid", 0) + item.cost
                     costs["best"] = costs.get("best", 0) + best.cost
         return fold, requests, costs
--- a/src/spanshunt/bill_keeper.py
+++ b/src/spanshunt/bill_keeper.py
@@ -23,12 +23,12 @@
 from .records import Usage
 from .systems.gossip import live_members
 from .systems.invariants import check_bill
-from .systems.journaling import first_open
-from .systems.journaling import forget_empty
+from .systems.journaling import drop_empty_copies
+from .systems.journaling import first_open_seq
 from .systems.journaling import next_batch
 from .systems.journaling import orphan_batch
-from .systems.journaling import seal
-from .systems.journaling import settle
+from .systems.journaling import record_bill
+from .systems.journaling import settle_bills
 from .tables.members import MemberRow
 from .utils import rendezvous
 
@@ -99,7 +99,7 @@
         """
         journal = self._state.journal
         wall = self._clock.wall()
-        entry = seal(journal, request, org, service, wall, usage)
+        entry = record_bill(journal, request, org, service, wall, usage)
         check_bill(self._billed, entry, journal.incarnation, wall)
         self._billed.add(request)
         self._costs[request] = entry.cost
@@ -144,7 +144,7 @@
         """Append copies whose owners are gone."""
         batch = orphan_batch(self._state.journal, self._is_gone)
         if batch is None:
-            forget_empty(self._state.journal, self._is_gone)
+            drop_empty_copies(self._state.journal, self._is_gone)
             return
         owners = ",".join(part.incarnation for part in batch.parts)
         match await self._appender.append_merged(Stream.BILLS, batch):
@@ -170,7 +170,7 @@
         return not self._state.journal.open
 
     def _settle(self, batch: Bills) -> None:
-        settle(self._state.journal, batch)
+        settle_bills(self._state.journal, batch)
         for part in batch.parts:
             for entry in part.entries:
                 self._billed.discard(entry.request)
@@ -201,7 +201,9 @@
         if not targets:
             return False
         journal = self._state.journal
-        message = CopyBillsRequest(journal.incarnation, entries, first_open(journal))
+        message = CopyBillsRequest(
+            journal.incarnation, entries, first_open_seq(journal)
+        )
         answers = await asyncio.gather(
             *(
                 self._parts.peers.copy_bills(row.address, message, _COPY_TIMEOUT)
@@ -232,7 +234,7 @@
             for incarnation, address in self._holders.items()
             if incarnation in live
         }
-        message = CopyBillsRequest(journal.incarnation, (), first_open(journal))
+        message = CopyBillsRequest(journal.incarnation, (), first_open_seq(journal))
         await asyncio.gather(
             *(
                 self._parts.peers.copy_bills(address, message, _COPY_TIMEOUT)
--- a/src/spanshunt/catalog_calls.py
+++ b/src/spanshunt/catalog_calls.py
@@ -38,12 +38,12 @@
 from .repeating import may_go_on
 from .request_state import Ending
 from .request_state import WorkerFailure
-from .systems.admitting import Admitted
+from .systems.admitting import Admission
 from .systems.cascading import record_lateness
 from .systems.ending import note_return
 from .systems.estimating import record_sent_prompt
 from .systems.estimating import urgency_of
-from .systems.following_workers import note_replaced
+from .systems.following_workers import mark_replaced
 from .systems.outages import note_domain_reached
 from .systems.quarantining import note_sound
 from .systems.quarantining import share
@@ -105,7 +105,7 @@
         share(core.fleet, state.fingerprint, core.clock.now())
 
 
-def _begin(core: Core, call: Call, admitted: Admitted) -> CatalogRequest:
+def _begin(core: Core, call: Call, admitted: Admission) -> CatalogRequest:
     route = admitted.route
     org = admitted.org.name if admitted.org else OrgId("")
     return CatalogRequest(
@@ -272,7 +272,7 @@
         note_load(attempt.worker, found.load, now)
     note_notice(core, state, attempt, found)
     if found.replaced:
-        note_replaced(core.fleet, attempt.worker)
+        mark_replaced(core.fleet, attempt.worker)
 
 
 def _note_late(core: Core, state: CatalogRequest, attempt: CatalogAttempt) -> None:
--- a/src/spanshunt/catalog_entry.py
+++ b/src/spanshunt/catalog_entry.py
@@ -17,13 +17,13 @@
 from .ports import Reply
 from .refusals import Problem
 from .refusals import Refusal
-from .systems.admitting import Admitted
-from .systems.admitting import Asked
+from .systems.admitting import Admission
+from .systems.admitting import AdmissionRequest
 from .systems.admitting import admit
-from .systems.admitting import held_ms
-from .systems.admitting import unproved
-from .systems.proving import FINAL_PART
-from .systems.proving import is_proved
+from .systems.admitting import catalog_wait_ms
+from .systems.admitting import unproved_catalog_refusal
+from .systems.proving import REFUSAL_PROOF_FRACTION
+from .systems.proving import is_catalog_proved
 
 FINAL = frozenset({Problem.NOT_FOUND, Problem.BAD_CREDENTIAL})
 """Refusals after which a caller does not ask again."""
@@ -36,7 +36,7 @@
 s."""
 
 
-async def enter(core: Core, call: Call) -> Result[Admitted, Refusal]:
+async def enter(core: Core, call: Call) -> Result[Admission, Refusal]:
     """Admit a request, or return why it is refused."""
     if core.fleet.catalog is None:
         await _await_catalog(core, call)
@@ -44,7 +44,7 @@
     admitted = _admit(core, call)
     if not isinstance(admitted, Err) or admitted.err_value.problem not in FINAL:
         return admitted
-    if _is_proved(core, FINAL_PART):
+    if _is_proved(core, REFUSAL_PROOF_FRACTION):
         return admitted
     core.count("refusals_checked")
     await core.prove()
@@ -52,18 +52,20 @@
     if not isinstance(again, Err) or _is_proved(core, 1.0):
         return again
     core.count("refusals_checked.unproved")
-    return Err(unproved(core.fleet.catalog, call.deadline - core.clock.now()))
+    return Err(
+        unproved_catalog_refusal(core.fleet.catalog, call.deadline - core.clock.now())
+    )
 
 
-def _admit(core: Core, call: Call) -> Result[Admitted, Refusal]:
+def _admit(core: Core, call: Call) -> Result[Admission, Refusal]:
     left_ms = call.deadline - core.clock.now()
-    asked = Asked(call.host, call.path, call.credential, left_ms)
+    asked = AdmissionRequest(call.host, call.path, call.credential, left_ms)
     return admit(core.fleet.catalog, asked)
 
 
 def _is_proved(core: Core, part: float) -> bool:
     """Tell whether the proof is at most a part of the bound on changes old."""
-    return is_proved(core.fleet, core.clock.now(), part * core.in_force_ms)
+    return is_catalog_proved(core.fleet, core.clock.now(), part * core.in_force_ms)
 
 
 async def _await_news(core: Core) -> None:
@@ -78,7 +80,7 @@
 async def _await_catalog(core: Core, call: Call) -> None:
     """Wait for the first catalog, as long as that may still serve the caller."""
     clock = core.clock
-    steps = held_ms(call.deadline - clock.now()) / (1_000 * CATALOG_STEP_S)
+    steps = catalog_wait_ms(call.deadline - clock.now()) / (1_000 * CATALOG_STEP_S)
     for _ in range(int(steps)):
         if core.fleet.catalog is not None:
             break
--- a/src/spanshunt/catalog_state.py
+++ b/src/spanshunt/catalog_state.py
@@ -17,7 +17,7 @@
 from .request_state import Attempt
 from .request_state import RequestState
 from .settling import Counter
-from .systems.admitting import Admitted
+from .systems.admitting import Admission
 from .systems.cascading import ModelPlan
 from .systems.estimating import FirstEventEstimate
 from .systems.estimating import Prompt
@@ -97,7 +97,7 @@
     """
 
     call: Call
-    admitted: Admitted
+    admitted: Admission
     fingerprint: Fingerprint = Fingerprint("")
     service: ServiceId = ServiceId("")
     model_plan: ModelPlan | None = None
--- a/src/spanshunt/chat_answers.py
+++ b/src/spanshunt/chat_answers.py
@@ -27,7 +27,7 @@
 from .sse import text_of_whole
 from .systems.invariants import OWN_ANSWER
 from .systems.invariants import check
-from .systems.journaling import price
+from .systems.journaling import priced_usage
 
 REFUSAL_BYTES = 500
 """So much of an engine's refusal is told to the caller, in bytes."""
@@ -161,7 +161,9 @@
     row = router.state.config.versions[attempt.choice.version]
     usage = attempt.usage
     if usage is not None:
-        state.usage.append(price(row, usage.prompt_tokens, usage.completion_tokens))
+        state.usage.append(
+            priced_usage(row, usage.prompt_tokens, usage.completion_tokens)
+        )
 
 
 def _escalates(state: ChatRequest, attempt: ChatAttempt) -> bool:
--- a/src/spanshunt/claimer.py
+++ b/src/spanshunt/claimer.py
@@ -27,9 +27,9 @@
 from .refusals import Refusal
 from .refusals import Run
 from .systems.claiming import claim_key
-from .systems.claiming import forget_own
+from .systems.claiming import drop_finished_calls
 from .systems.claiming import may_send
-from .systems.claiming import winner
+from .systems.claiming import winning_claim
 from .tables.claims import CallAnswer
 from .tables.claims import CallState
 from .tables.claims import OwnCall
@@ -90,7 +90,7 @@
         if not table.caught_up:
             return Err(_not_claimed("this box has not read the claims yet"))
         digest = claim_key(org, service, key)
-        held = winner(table, digest)
+        held = winning_claim(table, digest)
         if held is not None:
             return await self._repeat(held)
         table.own[request] = OwnCall(digest)
@@ -121,7 +121,7 @@
         own.state = CallState.DONE
         if len(answer.body) <= MAX_ANSWER_BYTES:
             own.answer = answer
-        forget_own(self._state.claims, KEEP_ANSWERS)
+        drop_finished_calls(self._state.claims, KEEP_ANSWERS)
 
     async def give_up(self, request: RequestId) -> None:
         """Give up a claim that was won but that no byte was sent for."""
@@ -149,7 +149,7 @@
         table = self._state.claims
         end = self._clock.now() + READ_BACK_MS
         while True:
-            held = winner(table, digest)
+            held = winning_claim(table, digest)
             if may_send(table, digest, request):
                 return Ok(Won(digest))
             if held is not None and held.request != request:
--- a/src/spanshunt/confirmations.py
+++ b/src/spanshunt/confirmations.py
@@ -19,8 +19,8 @@
 from .refusals import Refusal
 from .refusals import Run
 from .router import Router
-from .systems.fold import moved
-from .systems.freshness import holders
+from .systems.fold import changed_objects
+from .systems.freshness import count_holders
 from .systems.freshness import is_accepted
 from .systems.planner import make_plan
 from .utils import digest
@@ -91,7 +91,7 @@
     known = router.state.config.outcomes.get(plan.name)
     if known is not None:
         return await _outcome(router, plan.name, known)
-    conflicts = moved(router.state.config, plan.base)
+    conflicts = changed_objects(router.state.config, plan.base)
     if conflicts:
         return Err(_conflict(conflicts, Run.NO))
     record = Confirm(
@@ -158,7 +158,7 @@
             plan=plan,
             offset=offset,
             accepted=is_accepted(state, offset, router.clock.now()),
-            holders=max(1, holders(state, offset, router.clock.now())),
+            holders=max(1, count_holders(state, offset, router.clock.now())),
             boxes=max(1, len(state.members.listed)),
         )
     )
--- a/src/spanshunt/daemon.py
+++ b/src/spanshunt/daemon.py
@@ -46,8 +46,8 @@
 from .settings import Settings
 from .settings import load_settings
 from .settings import read_secret
-from .systems.freshness import prove_fresh
 from .systems.freshness import quorum_time
+from .systems.freshness import record_fresh_proof
 from .systems.learning import expire_epochs
 from .systems.limiting import tick_usage
 from .systems.worker_choice import end_ejections
@@ -227,7 +227,7 @@
         router, now = self.router, self.clock.now()
         state = router.state
         end_ejections(state.workers, now)
-        prove_fresh(state, quorum_time(state, now))
+        record_fresh_proof(state, quorum_time(state, now))
 
     async def _tick_limits(self) -> None:
         router, now = self.router, self.clock.now()
--- a/src/spanshunt/duties.py
+++ b/src/spanshunt/duties.py
@@ -18,9 +18,9 @@
 from .records import StepVerdict
 from .records import Stream
 from .systems.fold import snapshot_of
-from .systems.following import snapshot_due
+from .systems.following import is_snapshot_due
 from .systems.freshness import is_fresh
-from .systems.gossip import rank
+from .systems.gossip import duty_rank
 from .systems.guarding import judge_all
 from .tables.state import SuspendedRow
 
@@ -78,7 +78,7 @@
 
     async def make_snapshot(self) -> None:
         """Put a snapshot on the log when one is due."""
-        if not snapshot_due(self._state):
+        if not is_snapshot_due(self._state):
             self._due_since.pop("snapshot", None)
             return
         if not self._is_my_turn("snapshot") or not self._is_fresh():
@@ -136,7 +136,7 @@
 
     def _place(self, duty: str) -> int:
         suspect_ms = self._parts.settings.timing.suspect_ms
-        return rank(self._state, duty, self._clock.now(), suspect_ms)
+        return duty_rank(self._state, duty, self._clock.now(), suspect_ms)
 
     def _is_fresh(self) -> bool:
         bound = self._parts.settings.timing.fresh_ms
--- a/src/spanshunt/exchange.py
+++ b/src/spanshunt/exchange.py
@@ -40,18 +40,18 @@
 from .rollout_lines import log_order
 from .rollout_lines import log_turned_bad
 from .rollout_lines import log_verdict
-from .systems.eras import take_era
+from .systems.eras import record_era
 from .systems.evacuating import take_evacuation
 from .systems.fleet_size import box_count
-from .systems.following_workers import is_served
+from .systems.following_workers import apply_worker_list
+from .systems.following_workers import find_list_reader
+from .systems.following_workers import followers_to_announce
+from .systems.following_workers import is_served_by_store
 from .systems.following_workers import list_digest
-from .systems.following_workers import named_followers
-from .systems.following_workers import note_reading
-from .systems.following_workers import reader_of
-from .systems.following_workers import take_list
-from .systems.proving import newest_told
+from .systems.following_workers import record_list_read
+from .systems.proving import merge_peer_proof
+from .systems.proving import newest_reported_version
 from .systems.proving import proof_age
-from .systems.proving import take_told_proof
 from .systems.quarantining import kept_digest
 from .systems.quarantining import newly_kept
 from .systems.quarantining import take_suspect
@@ -207,7 +207,7 @@
             workers_age_ms=max(0, now - fleet.workers_read_at),
             read_age_ms=max(0, now - readings.last) if readings.last >= 0 else -1,
             read_unbroken_ms=readings.last - readings.since,
-            served=is_served(fleet, now),
+            served=is_served_by_store(fleet, now),
             silences=tuple(
                 SilenceNews(item.worker, item.box, now - item.at)
                 for item in newest_silences(fleet, now)
@@ -220,7 +220,7 @@
             ),
             kept_digest=kept_digest(fleet),
             kept_known=fleet.quarantine_known,
-            followers=named_followers(fleet, now)
+            followers=followers_to_announce(fleet, now)
             if domain == fleet.identity.domain
             else (),
             limits=limits_news(fleet, now),
@@ -264,9 +264,9 @@
         if news.box == fleet.identity.box:
             return
         fleet.wake_hold_until = Millis(0)
-        if take_era(fleet, news.store_era, now):
+        if record_era(fleet, news.store_era, now):
             log_older_store(fleet, news.box)
-        told_before = newest_told(fleet)
+        told_before = newest_reported_version(fleet)
         self._take_peers(news, now)
         told_at = self._told_at(news, asked_at)
         self._take_proof(news, told_at)
@@ -314,14 +314,14 @@
             return
         at = Millis(told_at - news.proof_age_ms)
         told = CatalogProof(at, Offset(news.proof_end), news.proof_by)
-        take_told_proof(self._fleet, news.catalog_version, told)
+        merge_peer_proof(self._fleet, news.catalog_version, told)
 
     def _take_workers(self, news: News, told_at: Millis | None, now: Millis) -> None:
         """Take in a newer list, or that this box's is as new as the teller's."""
         fleet = self._fleet
         if news.read_age_ms >= 0 and told_at is not None:
             last = Millis(told_at - news.read_age_ms)
-            note_reading(fleet, last, Millis(last - news.read_unbroken_ms))
+            record_list_read(fleet, last, Millis(last - news.read_unbroken_ms))
         if news.workers_end < fleet.workers_end or not news.workers_digest:
             return
         read_at = fleet.workers_read_at
@@ -329,7 +329,7 @@
             read_at = Millis(told_at - news.workers_age_ms)
         if news.workers:
             rows = [listed(item) for item in news.workers]
-            change = take_list(fleet, rows, Offset(news.workers_end), now)
+            change = apply_worker_list(fleet, rows, Offset(news.workers_end), now)
             fleet.workers_read_at = max(fleet.workers_read_at, read_at)
             for row in change.ended:
                 self._on_ended(row)
@@ -418,7 +418,7 @@
             unknown = [seed for seed in self._seeds if seed not in known]
             return unknown + [peer.address for peer in peers][:PEERS_TOLD]
         ready = [peer for peer in peers if _is_due(peer, now)]
-        reader = reader_of(fleet, now)
+        reader = find_list_reader(fleet, now)
         near = [peer for peer in ready if peer.domain == fleet.identity.domain]
         far = [peer for peer in ready if peer.domain != fleet.identity.domain]
         # One before the reader by name is it, if it lives: a box that starts finds the
--- a/src/spanshunt/fleet_report.py
+++ b/src/spanshunt/fleet_report.py
@@ -16,7 +16,7 @@
 from .systems.evacuating import emptied_domains
 from .systems.evacuating import is_emptied
 from .systems.exposing import entering_share
-from .systems.following_workers import reader_of
+from .systems.following_workers import find_list_reader
 from .systems.placing import batch_load
 from .systems.proving import proof_age
 from .systems.quarantining import kept_contents
@@ -207,7 +207,7 @@
         proof_by=fleet.catalog_proof.source,
         store_failing_ms=_since(fleet.store.failing_since, now),
         list_age_ms=_since(fleet.workers_read_at, now),
-        list_reader=reader_of(fleet, now),
+        list_reader=find_list_reader(fleet, now),
         store_era=fleet.store.era,
         emptied=tuple(sorted(emptied_domains(fleet))),
         settings=_settings(fleet.settings, now),
--- a/src/spanshunt/followers.py
+++ b/src/spanshunt/followers.py
@@ -19,11 +19,11 @@
 from .records import Release
 from .records import Stream
 from .systems.claiming import fold_claims
-from .systems.claiming import start_at
+from .systems.claiming import skip_trimmed_records
+from .systems.following import apply_records
+from .systems.following import apply_snapshot
 from .systems.following import newest_snapshot
-from .systems.following import take_records
-from .systems.following import take_snapshot
-from .systems.freshness import prove_fresh
+from .systems.freshness import record_fresh_proof
 from .tables.state import State
 
 WAIT_MS = 1_000
@@ -59,9 +59,9 @@
         start = self._state.config.next_offset
         match await self._log.read(Stream.CONFIG, start, wait_ms):
             case Ok(read):
-                take_records(self._state, read.records)
+                apply_records(self._state, read.records)
                 if self._state.config.next_offset >= read.head:
-                    prove_fresh(self._state, sent)
+                    record_fresh_proof(self._state, sent)
                 self.note_grown()
                 return True
             case Err(fault) if fault.fault is Fault.DROPPED:
@@ -93,7 +93,7 @@
                 if snapshot is None or snapshot.config.next_offset < read.first:
                     log_event("WARNING", "configuration lost its tail", first=first)
                     return False
-                return take_snapshot(self._state, snapshot)
+                return apply_snapshot(self._state, snapshot)
             case _:
                 return False
 
@@ -127,7 +127,7 @@
                 self._fold(read)
                 return True
             case Err(fault) if fault.fault is Fault.DROPPED:
-                start_at(table, Offset(fault.first))
+                skip_trimmed_records(table, Offset(fault.first))
                 return True
             case Err(_):
                 return False
--- a/src/spanshunt/gossiper.py
+++ b/src/spanshunt/gossiper.py
@@ -23,12 +23,12 @@
 from .peers.messages import ExchangeAnswer
 from .peers.messages import MemberDigest
 from .peers.messages import Pin
-from .systems.gossip import answer
-from .systems.gossip import forget_silent
-from .systems.gossip import hear_answer
+from .systems.gossip import answer_exchange
+from .systems.gossip import apply_exchange_answer
+from .systems.gossip import build_exchange
+from .systems.gossip import drop_silent_members
 from .systems.gossip import pick_peer
-from .systems.gossip import tell
-from .systems.journaling import take_copies
+from .systems.journaling import store_copies
 from .tables.members import MemberRow
 
 _TIMEOUT = 1.0
@@ -66,7 +66,7 @@
     async def round(self) -> None:
         """Exchange with one peer, or with a seed while no peer is known."""
         self._state.heartbeat += 1
-        forget_silent(self._state, self._clock.now())
+        drop_silent_members(self._state, self._clock.now())
         now = self._clock.now()
         row = pick_peer(
             self._state, now, self._parts.settings.timing.suspect_ms, self._rng
@@ -102,7 +102,7 @@
     async def exchange(self, told: Exchange) -> ExchangeAnswer:
         """Answer a peer; pull from it at once if it is ahead."""
         ahead = told.sender.offset > self._state.config.next_offset
-        reply = answer(
+        reply = answer_exchange(
             self._state,
             told,
             self._clock.now(),
@@ -119,7 +119,7 @@
         room = self._parts.settings.journal.max_entries - journal.size
         if len(copy.entries) > room:
             return CopyBillsReply(held=False)
-        take_copies(journal, copy.owner, copy.entries, copy.settled, self._clock.now())
+        store_copies(journal, copy.owner, copy.entries, copy.settled, self._clock.now())
         return CopyBillsReply(held=True)
 
     async def ask_call(self, ask: CallStatusRequest) -> CallStatusReply:
@@ -142,11 +142,11 @@
 
     async def _exchange(self, address: str, incarnation: Incarnation) -> bool:
         sent = self._clock.now()
-        told = tell(self._state, incarnation, sent, self._rng)
+        told = build_exchange(self._state, incarnation, sent, self._rng)
         match await self._parts.peers.exchange(address, told, _TIMEOUT):
             case Ok(got):
                 held = self._state.config.next_offset
-                hear_answer(
+                apply_exchange_answer(
                     self._state,
                     got,
                     sent,
--- a/src/spanshunt/platform/box_list.py
+++ b/src/spanshunt/platform/box_list.py
@@ -8,9 +8,9 @@
 from ..ids import DomainId
 from ..ids import Millis
 from ..logs import log_event
-from ..systems.eras import COPY_AGE_MS
-from ..systems.following_workers import is_first_near
-from ..systems.following_workers import is_served
+from ..systems.eras import MAX_COPY_AGE_MS
+from ..systems.following_workers import is_domain_follower
+from ..systems.following_workers import is_served_by_store
 from ..tables.fleet import PeerRow
 from . import wire
 from .store_reader import StoreReader
@@ -65,11 +65,13 @@
 
     def _must_tell(self, now: Millis) -> bool:
         """Tell whether the list should hold where this box is, and may lack it."""
-        if not is_first_near(self._fleet, now) or not is_served(self._fleet, now):
+        if not is_domain_follower(self._fleet, now) or not is_served_by_store(
+            self._fleet, now
+        ):
             return False
         written_at = self._written_at
         era_began = self._fleet.store.era_began
-        return written_at < 0 or written_at < era_began < written_at + COPY_AGE_MS
+        return written_at < 0 or written_at < era_began < written_at + MAX_COPY_AGE_MS
 
     def _must_read(self, now: Millis) -> bool:
         if not any(peer.heard >= 0 for peer in self._fleet.peers.values()):
--- a/src/spanshunt/platform/kept_back.py
+++ b/src/spanshunt/platform/kept_back.py
@@ -11,7 +11,7 @@
 from ..ids import WorkerIncarnation
 from ..logs import log_event
 from ..systems.blaming import live_peers
-from ..systems.following_workers import is_first_near
+from ..systems.following_workers import is_domain_follower
 from ..systems.quarantining import FORGOTTEN_MS
 from ..systems.quarantining import KEPT_MS
 from ..systems.quarantining import due_drops
@@ -82,7 +82,7 @@
         passed = now - self._began
         if passed < SETTLE_MS:
             return False
-        return is_first_near(self._fleet, now) or passed >= TOLD_BY_MS
+        return is_domain_follower(self._fleet, now) or passed >= TOLD_BY_MS
 
     async def recall(self) -> None:
         """Read again where no peer can tell: this box is cut off from all of them."""
--- a/src/spanshunt/platform/node.py
+++ b/src/spanshunt/platform/node.py
@@ -35,7 +35,7 @@
 from ..settings_file import LOOK_MS as SETTINGS_MS
 from ..settings_file import Applied
 from ..settings_file import SettingsFile
-from ..systems.eras import take_era
+from ..systems.eras import record_era
 from ..systems.forgetting import forget_old
 from ..tables.fleet import Fleet
 from ..tables.identity import Identity
@@ -336,7 +336,7 @@
         take_end(self.core, worker, "another one in the list")
 
     def _take_era(self, era: int) -> None:
-        if take_era(self.fleet, era, self.clock.now()):
+        if record_era(self.fleet, era, self.clock.now()):
             self.counters.add("store_came_back_older")
             log_older_store(self.fleet, "store")
             self._exchange.tell_now()
--- a/src/spanshunt/platform/operator_records.py
+++ b/src/spanshunt/platform/operator_records.py
@@ -11,14 +11,14 @@
 from ..ids import Offset
 from ..logs import log_event
 from ..platform_lines import catalog_fields
-from ..systems.eras import awaits_operators
-from ..systems.following_workers import follows_operators
-from ..systems.following_workers import is_served
-from ..systems.proving import PROBE_PART
-from ..systems.proving import is_first
-from ..systems.proving import is_proved
+from ..systems.eras import awaits_operator_rewrites
+from ..systems.following_workers import follows_operator_records
+from ..systems.following_workers import is_served_by_store
+from ..systems.proving import PROBE_TIMEOUT_FRACTION
+from ..systems.proving import is_catalog_proved
+from ..systems.proving import is_fleet_prober
 from ..systems.proving import must_probe
-from ..systems.proving import prove_catalog
+from ..systems.proving import record_catalog_read
 from . import wire
 from .record_taking import RecordTaker
 from .recorded_status import take_status
@@ -80,7 +80,7 @@
     def set_bound(self, in_force_ms: int) -> None:
         """Set within which time a change must be in force, in ms."""
         self._in_force_ms = in_force_ms
-        self._probe_ms = int(PROBE_PART * in_force_ms)
+        self._probe_ms = int(PROBE_TIMEOUT_FRACTION * in_force_ms)
 
     async def look(self) -> None:
         """Look whether this box follows the records or renews its proof; `LOOK_MS`."""
@@ -91,10 +91,10 @@
         self._note_age(now)
         if self._wait is None and follows:
             return
-        first = is_first(self._fleet, now, self._in_force_ms)
+        first = is_fleet_prober(self._fleet, now, self._in_force_ms)
         if self._wait is not None and first and not self._wait.first:
             self._wait.give_up(self._wait.since)
-        overtaken = self._is_overtaken() and is_served(self._fleet, now)
+        overtaken = self._is_overtaken() and is_served_by_store(self._fleet, now)
         if overtaken or must_probe(self._fleet, now, self._in_force_ms):
             self._probe_due.set()
 
@@ -103,7 +103,7 @@
 
         While the store does not serve this box, no question makes it ask.
         """
-        if not is_served(self._fleet, self._reader.now()):
+        if not is_served_by_store(self._fleet, self._reader.now()):
             return
         self._probe_due.set()
         with contextlib.suppress(TimeoutError):
@@ -135,7 +135,7 @@
             self._due.clear()
 
     def _follows(self) -> bool:
-        return follows_operators(self._fleet, self._reader.now())
+        return follows_operator_records(self._fleet, self._reader.now())
 
     async def _read(self) -> Offset | None:
         sent = self._reader.now()
@@ -148,14 +148,14 @@
             offset = Offset(item.offset)
             self._taker.take(item.key_file, item.content(), offset, seen=False)
             orders = orders or item.key_file.startswith(wire.ROLLOUT_PREFIX)
-        prove_catalog(self._fleet, sent, listing.end)
+        record_catalog_read(self._fleet, sent, listing.end)
         if orders and not await self._read_status():
             return None
         return listing.end
 
     async def _await(self, end: Offset) -> Offset | None:
-        held = awaits_operators(self._fleet, self._reader.now())
-        first = is_first(self._fleet, self._reader.now(), self._in_force_ms)
+        held = awaits_operator_rewrites(self._fleet, self._reader.now())
+        first = is_fleet_prober(self._fleet, self._reader.now(), self._in_force_ms)
         # What is missing from a copy is looked for again when it should be back.
         wait_ms = AGAIN_MS if held else TAIL_WAIT_MS
         if first:
@@ -195,8 +195,8 @@
         # A wait that was over before a record came shows that none came meanwhile.
         over = not got.ok_value.records and self._reader.now() >= sent + wait_ms
         proved_at = Millis(sent + wait_ms) if over and not cut else sent
-        prove_catalog(self._fleet, proved_at, got.ok_value.next)
-        if held and not awaits_operators(self._fleet, self._reader.now()):
+        record_catalog_read(self._fleet, proved_at, got.ok_value.next)
+        if held and not awaits_operator_rewrites(self._fleet, self._reader.now()):
             return await self._read()
         return got.ok_value.next
 
@@ -224,7 +224,7 @@
         elif wait is not None:
             # What others brought is not in the store, which came back from a copy.
             wait.version = self._fleet.catalog_version
-        prove_catalog(self._fleet, sent, tail.next)
+        record_catalog_read(self._fleet, sent, tail.next)
 
     async def _note_probe_failed(self, fault: StoreFault, wait: Wait | None) -> None:
         """Take in why a probe failed; where the place is gone, all is read anew."""
@@ -261,7 +261,7 @@
     def _note_age(self, now: Millis) -> None:
         """Log when the proof grows older than changes may take, and its renewal."""
         before = self._proved
-        self._proved = is_proved(self._fleet, now, self._in_force_ms)
+        self._proved = is_catalog_proved(self._fleet, now, self._in_force_ms)
         if before is None and not self._proved:
             self._proved = None
         elif before not in (None, self._proved):
--- a/src/spanshunt/platform/store.py
+++ b/src/spanshunt/platform/store.py
@@ -12,10 +12,10 @@
 from ..ids import Offset
 from ..kept_sessions import CALL_LOST
 from ..kept_sessions import KeptSessions
-from ..systems.eras import ERAS_MOST
+from ..systems.eras import MAX_ERAS
 from ..systems.eras import era_of
 from ..systems.eras import offset_of
-from ..systems.eras import place_of
+from ..systems.eras import position_of
 from .wire import ERA
 from .wire import Appended
 from .wire import NewestPage
@@ -162,11 +162,11 @@
                 detail = "/log-newest: came back older between two pages"
                 return Err(StoreFault(StoreProblem.OLD, detail))
             items.extend(
-                msgspec.structs.replace(item, offset=place_of(era, item.offset))
+                msgspec.structs.replace(item, offset=position_of(era, item.offset))
                 for item in page.ok_value.items
             )
             # Pages are no snapshot: the first page's end is what all of them hold.
-            end = place_of(era, page.ok_value.end) if end is None else end
+            end = position_of(era, page.ok_value.end) if end is None else end
             if not page.ok_value.more_pages:
                 break
             since = items[-1].key_file
@@ -234,7 +234,7 @@
             # wrote what this may hide is to be looked at.
             detail = "/log-append: done after the store came back older"
             return Err(StoreFault(StoreProblem.CONDITION, detail))
-        return Ok(place_of(era, appended.ok_value.offset))
+        return Ok(position_of(era, appended.ok_value.offset))
 
     async def _call(
         self,
@@ -276,7 +276,7 @@
     def _take_era(self, text: str | None) -> int:
         """Return the era of an answer; one that names none is of the last one known."""
         found = whole_number(text) if text is not None else None
-        if found is None or found >= ERAS_MOST:
+        if found is None or found >= MAX_ERAS:
             if text is not None:
                 self._count("store_eras_unreadable")
             return self._era
--- a/src/spanshunt/platform/store_reader.py
+++ b/src/spanshunt/platform/store_reader.py
@@ -5,8 +5,8 @@
 from ..clock import Clock
 from ..ids import Millis
 from ..logs import log_event
-from ..systems.following_workers import note_store_answer
-from ..systems.following_workers import note_store_failure
+from ..systems.following_workers import record_store_answer
+from ..systems.following_workers import record_store_failure
 from ..tables.fleet import Fleet
 from .store import Listing
 from .store import StoreClient
@@ -56,7 +56,7 @@
 
     def note_failure(self, fault: StoreFault) -> None:
         """Take in that a call failed."""
-        if note_store_failure(self.fleet, self.now()):
+        if record_store_failure(self.fleet, self.now()):
             log_event(
                 "WARNING",
                 "store lost",
@@ -66,5 +66,5 @@
 
     def note_answer(self) -> None:
         """Take in that the store answered."""
-        if note_store_answer(self.fleet):
+        if record_store_answer(self.fleet):
             log_event("INFO", "store regained")
--- a/src/spanshunt/platform/wire.py
+++ b/src/spanshunt/platform/wire.py
@@ -442,7 +442,7 @@
             row,
             draining=server.state == "draining",
             cold_ms=None if flaw else server.cold_remaining_ms,
-            flaw=flaw,
+            problem=flaw,
         )
     )
 
--- a/src/spanshunt/platform/worker_list.py
+++ b/src/spanshunt/platform/worker_list.py
@@ -8,10 +8,10 @@
 from ..ids import Millis
 from ..logs import log_event
 from ..systems.following_workers import ListedWorker
-from ..systems.following_workers import drop_missing
-from ..systems.following_workers import must_read
-from ..systems.following_workers import note_reading
-from ..systems.following_workers import take_list
+from ..systems.following_workers import apply_worker_list
+from ..systems.following_workers import drop_missing_workers
+from ..systems.following_workers import must_read_list
+from ..systems.following_workers import record_list_read
 from ..tables.workers import WorkerRow
 from . import wire
 from .store import Listing
@@ -64,10 +64,10 @@
     async def look(self) -> None:
         """Look whether this box is to read the list now; every `LOOK_MS`."""
         now = self._reader.now()
-        dropped = drop_missing(self._fleet, now)
+        dropped = drop_missing_workers(self._fleet, now)
         if dropped:
             log_event("INFO", "workers", source="grace over", gone=list(dropped))
-        if must_read(self._fleet, now, self._draining_ms):
+        if must_read_list(self._fleet, now, self._draining_ms):
             self._due.set()
 
     async def follow(self) -> None:
@@ -92,8 +92,8 @@
         listed = self._decode(listing)
         now = self._reader.now()
         self._fleet.wake_hold_until = Millis(0)
-        note_reading(self._fleet, now)
-        change = take_list(self._fleet, listed, listing.end, now)
+        record_list_read(self._fleet, now)
+        change = apply_worker_list(self._fleet, listed, listing.end, now)
         if listing.end >= self._fleet.workers_end:
             self._fleet.workers_read_at = now
         for row in change.ended:
@@ -122,8 +122,8 @@
                 unreadable[item.key_file] = decoded.err_value
                 continue
             listed.append(decoded.ok_value)
-            if decoded.ok_value.flaw:
-                odd[item.key_file] = decoded.ok_value.flaw
+            if decoded.ok_value.problem:
+                odd[item.key_file] = decoded.ok_value.problem
         _log_new("entry names no worker", unreadable, self._unreadable)
         _log_new("entry is odd, its worker taken for cold", odd, self._odd)
         self._unreadable, self._odd = unreadable, odd
--- a/src/spanshunt/platform_lines.py
+++ b/src/spanshunt/platform_lines.py
@@ -5,8 +5,8 @@
 from .ids import Millis
 from .logs import log_event
 from .systems.blaming import live_peers
-from .systems.following_workers import is_served
-from .systems.proving import newest_told
+from .systems.following_workers import is_served_by_store
+from .systems.proving import newest_reported_version
 from .systems.proving import proof_age
 from .tables.fleet import Fleet
 
@@ -19,9 +19,9 @@
         "proof_age_ms": proof_age(fleet, now),
         "proof_by": fleet.catalog_proof.source,
         "waiting_ms": now - waiting if waiting >= 0 else None,
-        "served": is_served(fleet, now),
+        "served": is_served_by_store(fleet, now),
         "peers_heard": len(live_peers(fleet, now)),
-        "newest_told": newest_told(fleet),
+        "newest_told": newest_reported_version(fleet),
     }
 
 
--- a/src/spanshunt/systems/admitting.py
+++ b/src/spanshunt/systems/admitting.py
@@ -14,18 +14,18 @@
 from ..tables.catalog import RouteRow
 from ..tables.catalog import find_route
 
-HELD_PART, HELD_MOST_MS = 0.125, 1_000
+CATALOG_WAIT_FRACTION, MAX_CATALOG_WAIT_MS = 0.125, 1_000
 """How long a request waits at a box that knows no catalog yet: a fraction of the time
 that its caller has left, and the upper bound in ms. A box reads the catalog as soon as
 it starts, and a caller may have no attempt left."""
 
-NOT_READY_PART, NOT_READY_MOST_MS = 1 / 6, 2_000
+RETRY_FRACTION, MAX_RETRY_MS = 1 / 6, 2_000
 """When a caller should retry at a box that still knows no catalog: a fraction of the
 time that the caller has left, and the upper bound in ms. Neither the store nor a peer
 has answered by then, and outages last for seconds."""
 
 
-class Asked(msgspec.Struct, frozen=True):
+class AdmissionRequest(msgspec.Struct, frozen=True):
     """The properties of a request that decide its admission.
 
     Attributes
@@ -44,7 +44,7 @@
     left_ms: int = 0
 
 
-class Admitted(msgspec.Struct, frozen=True):
+class Admission(msgspec.Struct, frozen=True):
     """The route of a request, and its organisation unless the route is anonymous."""
 
     route: RouteRow
@@ -65,15 +65,17 @@
         return self.route.regions, org
 
 
-def held_ms(left_ms: int) -> float:
+def catalog_wait_ms(left_ms: int) -> float:
     """Return how long to wait for the first catalog, in ms."""
-    return max(0.0, min(HELD_MOST_MS, HELD_PART * left_ms))
+    return max(0.0, min(MAX_CATALOG_WAIT_MS, CATALOG_WAIT_FRACTION * left_ms))
 
 
-def admit(catalog: Catalog | None, asked: Asked) -> Result[Admitted, Refusal]:
+def admit(
+    catalog: Catalog | None, asked: AdmissionRequest
+) -> Result[Admission, Refusal]:
     """Return the route and the organisation of a request in the current catalog."""
     if catalog is None:
-        return Err(_not_ready("this box knows no catalog yet", asked.left_ms))
+        return Err(_not_ready_refusal("this box knows no catalog yet", asked.left_ms))
     route = find_route(catalog, asked.host, asked.path)
     if route is None:
         detail = f"catalog {catalog.version} has no route for {asked.host}{asked.path}"
@@ -82,16 +84,16 @@
     if org is None and catalog.orgs and not route.anonymous:
         detail = f"the credential is not known in catalog {catalog.version}"
         return Err(Refusal(Problem.BAD_CREDENTIAL, detail))
-    return Ok(Admitted(route, org, catalog.version))
+    return Ok(Admission(route, org, catalog.version))
 
 
-def unproved(catalog: Catalog | None, left_ms: int) -> Refusal:
+def unproved_catalog_refusal(catalog: Catalog | None, left_ms: int) -> Refusal:
     """Return the refusal of a request that the newest catalog may allow."""
     known = catalog.version if catalog is not None else "none"
     detail = f"this box can't verify that catalog {known} is the newest"
-    return _not_ready(detail, left_ms)
+    return _not_ready_refusal(detail, left_ms)
 
 
-def _not_ready(detail: str, left_ms: int) -> Refusal:
-    retry_ms = Millis(int(min(NOT_READY_MOST_MS, NOT_READY_PART * left_ms)))
+def _not_ready_refusal(detail: str, left_ms: int) -> Refusal:
+    retry_ms = Millis(int(min(MAX_RETRY_MS, RETRY_FRACTION * left_ms)))
     return Refusal(Problem.NOT_READY, detail, retry_ms=retry_ms)
--- a/src/spanshunt/systems/claiming.py
+++ b/src/spanshunt/systems/claiming.py
@@ -40,7 +40,7 @@
             pass
         case _:
             return ()
-    _expire(table, record.at)
+    _drop_expired(table, record.at)
     for release in claims.releases:
         won = table.won.get(release.key)
         if won is not None and won.claim.request == release.request:
@@ -56,13 +56,13 @@
     return tuple(due)
 
 
-def winner(table: ClaimTable, key: str) -> Claim | None:
+def winning_claim(table: ClaimTable, key: str) -> Claim | None:
     """Return the claim that holds `key`, or None if the key is free."""
     won = table.won.get(key)
     return won.claim if won is not None else None
 
 
-def start_at(table: ClaimTable, first: Offset) -> None:
+def skip_trimmed_records(table: ClaimTable, first: Offset) -> None:
     """Skip the records before `first`, the first one that the log holds.
 
     Records that the log dropped are older than the lifetime of a key, so no claim that
@@ -71,7 +71,7 @@
     table.next_offset = max(table.next_offset, first)
 
 
-def forget_own(table: ClaimTable, keep: int) -> None:
+def drop_finished_calls(table: ClaimTable, keep: int) -> None:
     """Drop this box's finished calls except for the newest `keep`."""
     finished = [
         request
@@ -85,7 +85,7 @@
 def may_send(table: ClaimTable, key: str, request: RequestId) -> bool:
     """Return whether `request` holds `key` and was neither sent nor given up."""
     own = table.own.get(request)
-    held = winner(table, key)
+    held = winning_claim(table, key)
     return (
         own is not None
         and own.key == key
@@ -95,7 +95,7 @@
     )
 
 
-def _expire(table: ClaimTable, now: Millis) -> None:
+def _drop_expired(table: ClaimTable, now: Millis) -> None:
     while table.won:
         key, won = next(iter(table.won.items()))
         if now - won.at < KEY_LIFETIME_MS:
--- a/src/spanshunt/systems/eras.py
+++ b/src/spanshunt/systems/eras.py
@@ -12,36 +12,36 @@
 from ..tables.fleet import Fleet
 from ..tables.rollouts import Verdict
 
-ERA_STEP = 1 << 40
+ERA_STRIDE = 1 << 40
 """Distance between the positions of two eras; a store holds fewer records in its
 lifetime."""
 
-ERAS_MOST = 1 << 22
+MAX_ERAS = 1 << 22
 """Number of eras that can be told apart, as positions are integers of 63 bits. With one
 restore an hour, they last for 500 years."""
 
-COPY_AGE_MS = 60_000
+MAX_COPY_AGE_MS = 60_000
 """Maximum age of a copy, in ms. Copies are some seconds old, so records written before
 that need not be checked again."""
 
-OPERATORS_GRACE_MS = 5_000
+OPERATOR_REWRITE_GRACE_MS = 5_000
 """How long after a restore a missing operators' record is not treated as revoked, in
 ms. Workers rewrite their entries within 2 s, operators' tools later."""
 
 
-def place_of(era: int, offset: int) -> Offset:
+def position_of(era: int, offset: int) -> Offset:
     """Return the position of an offset; positions rise across eras."""
-    return Offset(era * ERA_STEP + offset)
+    return Offset(era * ERA_STRIDE + offset)
 
 
 def era_of(position: Offset) -> int:
     """Return the era of a position."""
-    return position // ERA_STEP
+    return position // ERA_STRIDE
 
 
 def offset_of(position: Offset) -> int:
     """Return the store's own offset of a position."""
-    return position % ERA_STEP
+    return position % ERA_STRIDE
 
 
 def is_same_offset(one: Offset, other: Offset) -> bool:
@@ -49,7 +49,7 @@
     return offset_of(one) == offset_of(other)
 
 
-def take_era(fleet: Fleet, era: int, now: Millis) -> bool:
+def record_era(fleet: Fleet, era: int, now: Millis) -> bool:
     """Record the store's era and return whether the store was just restored."""
     if era <= fleet.store.era:
         return False
@@ -60,17 +60,17 @@
     fleet.store.era_began = now
     # The copy may lack entries of workers, as the list does after an outage.
     fleet.list_read_streak.since = fleet.list_read_streak.last = now
-    _write_again(fleet, Millis(now - COPY_AGE_MS))
+    _mark_unrecorded(fleet, Millis(now - MAX_COPY_AGE_MS))
     return True
 
 
-def awaits_operators(fleet: Fleet, now: Millis) -> bool:
+def awaits_operator_rewrites(fleet: Fleet, now: Millis) -> bool:
     """Return whether operators may still rewrite records that the copy lacks."""
     era_began = fleet.store.era_began
-    return era_began >= 0 and now < era_began + OPERATORS_GRACE_MS
+    return era_began >= 0 and now < era_began + OPERATOR_REWRITE_GRACE_MS
 
 
-def _write_again(fleet: Fleet, since: Millis) -> None:
+def _mark_unrecorded(fleet: Fleet, since: Millis) -> None:
     """Mark what was written after `since` as not recorded in the store."""
     for row in fleet.rollouts.rows.values():
         row.announced = row.announced and row.began < since
--- a/src/spanshunt/systems/evacuating.py
+++ b/src/spanshunt/systems/evacuating.py
@@ -11,7 +11,7 @@
 from ..ids import Offset
 from ..tables.fleet import EvacuationRow
 from ..tables.fleet import Fleet
-from .eras import awaits_operators
+from .eras import awaits_operator_rewrites
 from .warming import note_started
 
 
@@ -59,7 +59,7 @@
     now : int
         The time, in ms.
     """
-    if awaits_operators(fleet, now):
+    if awaits_operator_rewrites(fleet, now):
         return ()
     absent = [
         row.domain
--- a/src/spanshunt/systems/fleet_size.py
+++ b/src/spanshunt/systems/fleet_size.py
@@ -12,12 +12,12 @@
     return max(1 + len(fleet.peers), fleet.reported_box_count)
 
 
-def may_be_alone(fleet: Fleet, now: Millis) -> bool:
+def is_discovery_finished(fleet: Fleet, now: Millis) -> bool:
     """Return whether this box found a peer, or has searched for long enough."""
     return box_count(fleet) > 1 or now >= fleet.discovery_until
 
 
-def turn_of(fleet: Fleet, key: str) -> float:
+def stagger_fraction(fleet: Fleet, key: str) -> float:
     """Return when this box's turn is among all boxes, as a fraction from 0 to 1.
 
     Boxes that know all peers get evenly spaced turns, in an order that differs by key.
--- a/src/spanshunt/systems/fold.py
+++ b/src/spanshunt/systems/fold.py
@@ -38,10 +38,10 @@
 from ..tables.config import VersionState
 from ..utils import digest
 
-HISTORY_ROWS = 500
+MAX_HISTORY_ROWS = 500
 """Number of history rows kept; older ones are only on the log."""
 
-OUTCOME_OFFSETS = 50_000
+OUTCOME_RETENTION_RECORDS = 50_000
 """For how many records a plan's outcome is kept, to answer queries and to recognise
 duplicates."""
 
@@ -71,10 +71,10 @@
 
 def snapshot_of(config: Config) -> Snapshot:
     """Return a snapshot of `config` with its hash."""
-    return Snapshot(config=clone(config), hash=digest(config))
+    return Snapshot(config=copy_config(config), hash=digest(config))
 
 
-def clone(config: Config) -> Config:
+def copy_config(config: Config) -> Config:
     """Return a copy of the tables; it shares the rows, which are immutable."""
     return Config(
         next_offset=config.next_offset,
@@ -90,14 +90,16 @@
     )
 
 
-def verified(snapshot: Snapshot) -> Config | None:
+def verify_snapshot(snapshot: Snapshot) -> Config | None:
     """Return the configuration of a snapshot, or None if its hash does not match."""
     if digest(snapshot.config) != snapshot.hash:
         return None
     return snapshot.config
 
 
-def moved(config: Config, base: dict[ObjectKey, int]) -> tuple[ObjectKey, ...]:
+def changed_objects(
+    config: Config, base: dict[ObjectKey, int]
+) -> tuple[ObjectKey, ...]:
     """Return the objects whose revision differs from that in `base`."""
     return tuple(
         sorted(key for key, rev in base.items() if config.revision(key) != rev)
@@ -120,16 +122,16 @@
     if confirm.plan in config.outcomes:
         return
     config.outcomes[confirm.plan] = record.offset
-    _forget_outcomes(config, record.offset)
-    conflicts = moved(config, confirm.base)
+    _drop_old_outcomes(config, record.offset)
+    conflicts = changed_objects(config, confirm.base)
     if conflicts:
         config.conflicts[confirm.plan] = conflicts
-        _remember(config, confirm, record, accepted=False)
+        _add_plan_history(config, confirm, record, accepted=False)
         return
     for change in confirm.changes:
         _apply_change(config, confirm, change, record)
         config.revisions[change.key] = record.offset
-    _remember(config, confirm, record, accepted=True)
+    _add_plan_history(config, confirm, record, accepted=True)
 
 
 def _apply_change(
@@ -232,7 +234,7 @@
             )
 
 
-def _remember(
+def _add_plan_history(
     config: Config, confirm: Confirm, record: LogRecord, *, accepted: bool
 ) -> None:
     summary = "; ".join(change.describe() for change in confirm.changes)
@@ -242,11 +244,11 @@
 
 def _add_history(config: Config, row: HistoryRow) -> None:
     config.history.append(row)
-    del config.history[:-HISTORY_ROWS]
+    del config.history[:-MAX_HISTORY_ROWS]
 
 
-def _forget_outcomes(config: Config, offset: Offset) -> None:
-    oldest = offset - OUTCOME_OFFSETS
+def _drop_old_outcomes(config: Config, offset: Offset) -> None:
+    oldest = offset - OUTCOME_RETENTION_RECORDS
     for plan, outcome_offset in list(config.outcomes.items()):
         if outcome_offset >= oldest:
             break
--- a/src/spanshunt/systems/following.py
+++ b/src/spanshunt/systems/following.py
@@ -9,17 +9,17 @@
 from ..records import Snapshot
 from ..records import decode_record
 from ..tables.state import State
-from .fold import clone
+from .fold import copy_config
 from .fold import fold_record
 from .fold import snapshot_of
-from .fold import verified
+from .fold import verify_snapshot
 from .invariants import check_offset
 
-SNAPSHOT_EVERY = 500
+SNAPSHOT_INTERVAL_RECORDS = 500
 """Number of records after which a snapshot is appended to the log."""
 
 
-def take_records(state: State, records: t.Iterable[LogRecord]) -> int:
+def apply_records(state: State, records: t.Iterable[LogRecord]) -> int:
     """Fold the records that follow the held ones and return how many were new.
 
     Records that were folded before are skipped; the records after a gap are left for
@@ -34,7 +34,7 @@
             break
         fold_record(state.config, record)
         check_offset(held, state.config.next_offset)
-        _note_snapshot(state, record)
+        _record_snapshot_offset(state, record)
         state.recent_records.append(record)
         count += 1
     if count:
@@ -42,13 +42,13 @@
     return count
 
 
-def take_snapshot(state: State, snapshot: Snapshot) -> bool:
+def apply_snapshot(state: State, snapshot: Snapshot) -> bool:
     """Apply a snapshot if it is newer than the tables and its hash matches."""
-    config = verified(snapshot)
+    config = verify_snapshot(snapshot)
     if config is None or config.next_offset <= state.config.next_offset:
         return False
     check_offset(state.config.next_offset, config.next_offset)
-    state.config = clone(config)
+    state.config = copy_config(config)
     state.recent_records.clear()
     state.snapshot_offset = max(state.snapshot_offset, config.next_offset)
     _lift_suspensions(state)
@@ -85,12 +85,12 @@
     return best
 
 
-def snapshot_due(state: State) -> bool:
+def is_snapshot_due(state: State) -> bool:
     """Return whether a snapshot should be appended to the log."""
-    return state.config.next_offset - state.snapshot_offset >= SNAPSHOT_EVERY
+    return state.config.next_offset - state.snapshot_offset >= SNAPSHOT_INTERVAL_RECORDS
 
 
-def _note_snapshot(state: State, record: LogRecord) -> None:
+def _record_snapshot_offset(state: State, record: LogRecord) -> None:
     match decode_record(record.data):
         case Ok(Snapshot(config=config)):
             state.snapshot_offset = max(state.snapshot_offset, config.next_offset)
--- a/src/spanshunt/systems/following_workers.py
+++ b/src/spanshunt/systems/following_workers.py
@@ -20,42 +20,42 @@
 from ..tables.workers import WorkerState
 from .warming import note_started
 
-RETURN_GRACE_MS = 2_000
+ENTRY_GRACE_MS = 2_000
 """How long after the store is back an expired entry is waited for, in ms: live workers
 rewrite theirs within about 2 s."""
 
-READ_GAP_MS = 1_500
+MAX_READ_GAP_MS = 1_500
 """Maximum time between two reads of the list, by any box, in which the store counts as
 reachable, in ms. A reader reads every 0.9 to 1.4 s, and entries expire after three
 missed heartbeats, about 3.6 s."""
 
-HEARD_MS = 1_500
+PEER_TIMEOUT_MS = 1_500
 """A peer not heard for this long is not relied on to read the list, in ms: three gossip
 rounds."""
 
-REFUSED_MS = 3_000
+REFUSAL_TIMEOUT_MS = 3_000
 """How long after a failed call a box that makes no more calls counts as refused, in ms:
 while the store is unreachable for all boxes, each of them calls it that rarely."""
 
-OPERATOR_FOLLOWERS = 2
+FOLLOWERS_PER_DOMAIN = 2
 """Number of boxes of a failure domain that follow the operators' records, have an entry
 in the list of boxes, and read the quarantined contents. With two, a box that is frozen,
 cut off or killed delays nobody; each further one makes a call for each record and one
 every 20 s."""
 
-TRY_MS = 200
+RETRY_PAUSE_PER_BOX_MS = 200
 """Pause between the calls of a box whose last call to the store failed and for which
 another box should read, in ms for each box of its failure domain. Together they make
 five calls a second, however many they are. Two boxes call as often as the reader
 does."""
 
-OLD_PART = 0.6
+STALE_LIST_FRACTION = 0.6
 """A list older than this fraction of the time within which a leaving worker must get no
 new requests is read by any box, whichever box should read it: a call then still fits
 in."""
 
 
-FORMER_KEPT = 256
+MAX_FORMER_WORKERS = 256
 """Maximum number of workers whose notices are kept after their entries are gone: an
 entry may come back with the store, and few workers of a fleet send notices."""
 
@@ -71,14 +71,14 @@
         Whether the entry says that the worker leaves.
     cold_ms : int or None
         How much longer the worker is cold after its start, in ms; None if unknown.
-    flaw : str
+    problem : str
         Description of an invalid value in the entry; empty for none.
     """
 
     row: WorkerRow
     draining: bool
     cold_ms: Millis | None = None
-    flaw: str = ""
+    problem: str = ""
 
 
 class ListChange(msgspec.Struct, frozen=True):
@@ -96,7 +96,7 @@
         return not (self.came or self.leaving or self.gone or self.kept)
 
 
-def take_list(
+def apply_worker_list(
     fleet: Fleet, listed: list[ListedWorker], end: Offset, now: Millis
 ) -> ListChange:
     """Apply a whole list to the table; one older than the last applied is ignored."""
@@ -104,14 +104,14 @@
         return ListChange()
     fleet.workers_end = end
     present = {item.row.name for item in listed}
-    ended = _ended(fleet, listed)
-    came, leaving = _take_present(fleet, listed, now)
-    gone, kept = _take_missing(fleet, present, now)
+    ended = _find_ended(fleet, listed)
+    came, leaving = _apply_present(fleet, listed, now)
+    gone, retained = _apply_missing(fleet, present, now)
     fleet.workers.invalidate_index()
-    return ListChange(came, leaving, gone, kept, ended)
+    return ListChange(came, leaving, gone, retained, ended)
 
 
-def _ended(fleet: Fleet, listed: list[ListedWorker]) -> tuple[WorkerRow, ...]:
+def _find_ended(fleet: Fleet, listed: list[ListedWorker]) -> tuple[WorkerRow, ...]:
     """Return the rows whose worker ended unplanned, as the list shows.
 
     The list has a later incarnation of it, or a new worker at its address.
@@ -128,7 +128,7 @@
     )
 
 
-def _take_present(
+def _apply_present(
     fleet: Fleet, listed: list[ListedWorker], now: Millis
 ) -> tuple[tuple[WorkerId, ...], tuple[WorkerId, ...]]:
     workers = fleet.workers
@@ -138,7 +138,7 @@
         fleet.missing_workers.discard(listed_row.name)
         known = workers.rows.get(listed_row.name)
         if known is None or listed_row.born > known.born > 0:
-            _take_life(fleet, listed_row, now)
+            _add_incarnation(fleet, listed_row, now)
             came.append(listed_row.name)
         else:
             known.address, known.domain = listed_row.address, listed_row.domain
@@ -158,7 +158,7 @@
     return tuple(came), tuple(leaving)
 
 
-def _take_life(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
+def _add_incarnation(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
     """Add a worker that is new, or a new incarnation of a known one.
 
     A new incarnation gets a new row: load, cache contents, failures and leaving state
@@ -173,32 +173,32 @@
     fleet.silence_reports.pop(row.name, None)
     former = fleet.workers.former.pop(row.name, None)
     if former is not None and former.born == row.born:
-        _take_words(fleet, row, former)
+        _restore_notices(fleet, row, former)
 
 
-def _take_words(fleet: Fleet, row: WorkerRow, former: WorkerRow) -> None:
+def _restore_notices(fleet: Fleet, row: WorkerRow, former: WorkerRow) -> None:
     """Restore the notices of a worker whose entry came back."""
     row.limit, row.rate_limiter = former.limit, former.rate_limiter
     row.rest, row.notices_since = former.rest, former.notices_since
     if former.leaving is not None:
-        note_leaving(fleet, row, former.leaving)
+        record_leaving_notice(fleet, row, former.leaving)
 
 
-def _take_missing(
+def _apply_missing(
     fleet: Fleet, present: set[WorkerId], now: Millis
 ) -> tuple[tuple[WorkerId, ...], tuple[WorkerId, ...]]:
     may_return = awaits_entries(fleet, now)
-    gone, kept = [], []
+    gone, retained = [], []
     for name in set(fleet.workers.rows) - present:
         has_expired = fleet.workers.rows[name].listed_at < fleet.list_read_streak.since
         if may_return and has_expired and name not in fleet.workers.leaving:
             if name not in fleet.missing_workers:
-                kept.append(name)
+                retained.append(name)
             fleet.missing_workers.add(name)
             continue
-        _remove(fleet, name)
+        _remove_worker(fleet, name)
         gone.append(name)
-    return tuple(gone), tuple(kept)
+    return tuple(gone), tuple(retained)
 
 
 def awaits_entries(fleet: Fleet, now: Millis) -> bool:
@@ -207,10 +207,10 @@
     They may just after a time in which no box read the list. A box that was cut off
     waits only until it hears of a box that kept reading: then no entry expired.
     """
-    return now < fleet.list_read_streak.since + RETURN_GRACE_MS
+    return now < fleet.list_read_streak.since + ENTRY_GRACE_MS
 
 
-def drop_missing(fleet: Fleet, now: Millis) -> tuple[WorkerId, ...]:
+def drop_missing_workers(fleet: Fleet, now: Millis) -> tuple[WorkerId, ...]:
     """Remove missing workers that are no longer waited for and return their names."""
     if not fleet.missing_workers or awaits_entries(fleet, now):
         return ()
@@ -219,12 +219,12 @@
     )
     fleet.missing_workers.clear()
     for name in dropped:
-        _remove(fleet, name)
+        _remove_worker(fleet, name)
     fleet.workers.invalidate_index()
     return dropped
 
 
-def _remove(fleet: Fleet, name: WorkerId) -> None:
+def _remove_worker(fleet: Fleet, name: WorkerId) -> None:
     fleet.missing_workers.discard(name)
     _mark_leaving(fleet, name)
     fleet.workers.leaving.discard(name)
@@ -232,11 +232,11 @@
     former = fleet.workers.former
     if row.has_notices:
         former[name] = row
-    while len(former) > FORMER_KEPT:
+    while len(former) > MAX_FORMER_WORKERS:
         del former[next(iter(former))]
 
 
-def note_reading(
+def record_list_read(
     fleet: Fleet, read_at: Millis, unbroken_since: Millis | None = None
 ) -> None:
     """Record that the list was read from the store.
@@ -252,8 +252,8 @@
         a gap, in ms.
     """
     streak = fleet.list_read_streak
-    is_connected = read_at >= streak.last - READ_GAP_MS
-    if streak.last < 0 or read_at - streak.last > READ_GAP_MS:
+    is_connected = read_at >= streak.last - MAX_READ_GAP_MS
+    if streak.last < 0 or read_at - streak.last > MAX_READ_GAP_MS:
         streak.since = read_at
     if unbroken_since is not None and is_connected:
         streak.since = min(streak.since, unbroken_since)
@@ -268,7 +268,7 @@
         row.state = WorkerState.LEAVING
 
 
-def note_leaving(fleet: Fleet, row: WorkerRow, notice: LeavingNotice) -> bool:
+def record_leaving_notice(fleet: Fleet, row: WorkerRow, notice: LeavingNotice) -> bool:
     """Record a worker's notice that it leaves and return whether it is new.
 
     The notice holds for this incarnation of the worker, whatever its entry says and
@@ -287,13 +287,13 @@
     return row.listed_leaving or (leaves and row.leaving is None)
 
 
-def note_replaced(fleet: Fleet, row: WorkerRow) -> None:
+def mark_replaced(fleet: Fleet, row: WorkerRow) -> None:
     """Record that a worker ended, as another one answered at its address."""
     _mark_leaving(fleet, row.name)
     fleet.workers.invalidate_index()
 
 
-def note_store_answer(fleet: Fleet) -> bool:
+def record_store_answer(fleet: Fleet) -> bool:
     """Record an answer of the store and return whether calls had failed before."""
     store = fleet.store
     if store.failing_since < 0:
@@ -302,7 +302,7 @@
     return True
 
 
-def note_store_failure(fleet: Fleet, now: Millis) -> bool:
+def record_store_failure(fleet: Fleet, now: Millis) -> bool:
     """Record a failed call to the store and return whether it is the first in a row."""
     fleet.store.failed_at = now
     if fleet.store.failing_since >= 0:
@@ -311,80 +311,80 @@
     return True
 
 
-def reader_of(fleet: Fleet, now: Millis) -> BoxId:
+def find_list_reader(fleet: Fleet, now: Millis) -> BoxId:
     """Return the box of this failure domain that reads the list for the others.
 
     It is the first by name of those recently heard; where boxes disagree, two of them
     read.
     """
-    return _near_heard(fleet, now)[0]
+    return _live_boxes_in_domain(fleet, now)[0]
 
 
-def follows_operators(fleet: Fleet, now: Millis) -> bool:
+def follows_operator_records(fleet: Fleet, now: Millis) -> bool:
     """Return whether this box follows the operators' records itself.
 
     The first boxes by name of each failure domain do, and any box that knows no catalog
     yet; the others get the records from them.
     """
-    return fleet.catalog is None or is_first_near(fleet, now)
+    return fleet.catalog is None or is_domain_follower(fleet, now)
 
 
-def is_first_near(fleet: Fleet, now: Millis) -> bool:
+def is_domain_follower(fleet: Fleet, now: Millis) -> bool:
     """Return whether this box is one of the first by name of its failure domain.
 
     All boxes of a domain exchange state with its first box in each round, so the first
     box hears all of them and names the followers. Each other box hears only a few and
     might take itself for one of the first.
     """
-    near = _near_heard(fleet, now)
+    near = _live_boxes_in_domain(fleet, now)
     first = fleet.peers.get(near[0])
     if first is not None and first.followers:
         return fleet.identity.box in first.followers
-    return fleet.identity.box in near[:OPERATOR_FOLLOWERS]
+    return fleet.identity.box in near[:FOLLOWERS_PER_DOMAIN]
 
 
-def named_followers(fleet: Fleet, now: Millis) -> tuple[BoxId, ...]:
+def followers_to_announce(fleet: Fleet, now: Millis) -> tuple[BoxId, ...]:
     """Return the first boxes of this failure domain, if this box is to name them.
 
     It names them while it is the first by name itself; otherwise the result is empty.
     """
-    near = _near_heard(fleet, now)
+    near = _live_boxes_in_domain(fleet, now)
     if near[0] != fleet.identity.box:
         return ()
-    return tuple(near[:OPERATOR_FOLLOWERS])
+    return tuple(near[:FOLLOWERS_PER_DOMAIN])
 
 
-def _near_heard(fleet: Fleet, now: Millis) -> list[BoxId]:
+def _live_boxes_in_domain(fleet: Fleet, now: Millis) -> list[BoxId]:
     """Return this box and the recently heard boxes of its failure domain, by name.
 
     Boxes that the store does not serve are left out, unless it does not serve this box
     either: then only few of them should keep calling the store.
     """
-    served = is_served(fleet, now)
+    served = is_served_by_store(fleet, now)
     near = [
         peer.box
         for peer in fleet.peers.values()
         if peer.domain == fleet.identity.domain
-        and 0 <= peer.heard > now - HEARD_MS
+        and 0 <= peer.heard > now - PEER_TIMEOUT_MS
         and (peer.served or not served)
     ]
     return sorted([*near, fleet.identity.box])
 
 
-def is_served(fleet: Fleet, now: Millis) -> bool:
+def is_served_by_store(fleet: Fleet, now: Millis) -> bool:
     """Return whether the store serves this box, by the outcome of its newest calls."""
     store = fleet.store
-    return store.failing_since < 0 or now >= store.failed_at + REFUSED_MS
+    return store.failing_since < 0 or now >= store.failed_at + REFUSAL_TIMEOUT_MS
 
 
-def must_read(fleet: Fleet, now: Millis, draining_ms: int) -> bool:
+def must_read_list(fleet: Fleet, now: Millis, draining_ms: int) -> bool:
     """Return whether this box must read the list itself now."""
-    if fleet.workers_read_at < 0 or reader_of(fleet, now) == fleet.identity.box:
+    if fleet.workers_read_at < 0 or find_list_reader(fleet, now) == fleet.identity.box:
         return True
-    if now - fleet.workers_read_at <= OLD_PART * draining_ms:
+    if now - fleet.workers_read_at <= STALE_LIST_FRACTION * draining_ms:
         return False
     store = fleet.store
-    pause_ms = TRY_MS * len(_near_heard(fleet, now))
+    pause_ms = RETRY_PAUSE_PER_BOX_MS * len(_live_boxes_in_domain(fleet, now))
     return store.failing_since < 0 or now >= store.failed_at + pause_ms
 
 
@@ -396,11 +396,11 @@
     if fleet.workers_read_at < 0:
         return 0
     if not fleet.workers.digest:
-        fleet.workers.digest = _digest(fleet)
+        fleet.workers.digest = _compute_digest(fleet)
     return fleet.workers.digest
 
 
-def _digest(fleet: Fleet) -> int:
+def _compute_digest(fleet: Fleet) -> int:
     contents = sorted(
         f"{row.incarnation} {row.address} {row.service} {sorted(row.versions)} "
         f"{is_listed_leaving(fleet, row)} {row.listed_cold}"
--- a/src/spanshunt/systems/freshness.py
+++ b/src/spanshunt/systems/freshness.py
@@ -8,8 +8,8 @@
 
 Boxes have no disks, so a box that was replaced has lost what its previous run held. It
 is no witness, for itself or others, until a proof of freshness covers a time
-:data:`ACK_MS` after its start: by then, no configuration can still become accepted
-through acknowledgements of the previous run.
+:data:`ACK_VALIDITY_MS` after its start: by then, no configuration can still become
+accepted through acknowledgements of the previous run.
 """
 
 from ..ids import Millis
@@ -19,11 +19,11 @@
 
 NEVER = Millis(-1)
 
-ACK_MS = 5_000
+ACK_VALIDITY_MS = 5_000
 """How long a box's statement that it holds a record counts for acceptance, in ms."""
 
 
-def prove_fresh(state: State, at: Millis) -> None:
+def record_fresh_proof(state: State, at: Millis) -> None:
     """Record a proof that the configuration was fresh at `at`, if it is the newest.
 
     Parameters
@@ -49,14 +49,14 @@
     return age != NEVER and age <= bound
 
 
-def majority(members: Members) -> int:
+def majority_size(members: Members) -> int:
     """Return the number of boxes that form a majority of the listed ones."""
     return len(members.listed) // 2 + 1
 
 
-def may_witness(state: State) -> bool:
+def is_witness(state: State) -> bool:
     """Return whether this box holds everything that any run of it said it holds."""
-    return state.fresh_at != NEVER and state.fresh_at >= state.started + ACK_MS
+    return state.fresh_at != NEVER and state.fresh_at >= state.started + ACK_VALIDITY_MS
 
 
 def quorum_time(state: State, now: Millis) -> Millis:
@@ -65,7 +65,7 @@
     This box counts as having answered now. Only witnesses count.
     """
     members = state.members
-    if state.identity.box not in members.listed or not may_witness(state):
+    if state.identity.box not in members.listed or not is_witness(state):
         return NEVER
     times = [
         row.witnessed_at
@@ -74,16 +74,16 @@
     ]
     times.append(now)
     times.sort(reverse=True)
-    size = majority(members)
+    size = majority_size(members)
     if len(times) < size:
         return NEVER
     return times[size - 1]
 
 
-def holders(state: State, offset: Offset, now: Millis) -> int:
+def count_holders(state: State, offset: Offset, now: Millis) -> int:
     """Return how many listed boxes state that they hold the record at `offset`.
 
-    A statement older than :data:`ACK_MS` does not count.
+    A statement older than :data:`ACK_VALIDITY_MS` does not count.
     """
     members = state.members
     others = sum(
@@ -92,7 +92,7 @@
         if name in members.listed
         and row.offset > offset
         and row.answered_at != NEVER
-        and now - row.answered_at <= ACK_MS
+        and now - row.answered_at <= ACK_VALIDITY_MS
     )
     own = state.identity.box in members.listed and state.config.next_offset > offset
     return others + int(own)
@@ -105,4 +105,4 @@
     """
     if not state.members.listed:
         return state.config.next_offset > offset
-    return holders(state, offset, now) >= majority(state.members)
+    return count_holders(state, offset, now) >= majority_size(state.members)
--- a/src/spanshunt/systems/gossip.py
+++ b/src/spanshunt/systems/gossip.py
@@ -18,80 +18,82 @@
 from ..tables.state import State
 from ..tables.state import SuspendedRow
 from ..utils import rendezvous
+from .following import apply_records
+from .following import apply_snapshot
 from .following import records_from
-from .following import take_records
-from .following import take_snapshot
 from .freshness import NEVER
 from .freshness import fresh_age
-from .freshness import may_witness
-from .freshness import prove_fresh
+from .freshness import is_witness
 from .freshness import quorum_time
+from .freshness import record_fresh_proof
 from .learning import changes_since
 from .learning import merge_counts
 from .limiting import hear_usage
 from .limiting import usage_rows
 
-MEMBERS_A_ROUND = 6
+MEMBERS_PER_MESSAGE = 6
 """Maximum number of rows of other boxes in one message."""
 
-EVIDENCE_A_ROUND = 10
+EVIDENCE_PER_MESSAGE = 10
 """Maximum number of rows of evidence in one message."""
 
-USAGE_A_ROUND = 6
+USAGE_PER_MESSAGE = 6
 """Maximum number of rows of usage in one message."""
 
-FORGET_MS = 600_000
+MEMBER_RETENTION_MS = 600_000
 """How long the row of a silent peer is kept, in ms."""
 
-SUSPENSION_MS = 600_000
+MAX_SUSPENSION_MS = 600_000
 """How long a suspension lasts that the log never confirms, in ms."""
 
 
-def tell(state: State, peer: Incarnation, now: Millis, rng: random.Random) -> Exchange:
+def build_exchange(
+    state: State, peer: Incarnation, now: Millis, rng: random.Random
+) -> Exchange:
     """Return the message for a peer."""
     first_change = state.evidence_sent.get(peer, 0)
     evidence, next_change = changes_since(
-        state.evidence, first_change, EVIDENCE_A_ROUND
+        state.evidence, first_change, EVIDENCE_PER_MESSAGE
     )
     state.evidence_sent[peer] = next_change
     usage = usage_rows(state.usage, state.identity.incarnation)
-    if len(usage) > USAGE_A_ROUND:
-        usage = tuple(rng.sample(usage, USAGE_A_ROUND))
+    if len(usage) > USAGE_PER_MESSAGE:
+        usage = tuple(rng.sample(usage, USAGE_PER_MESSAGE))
     return Exchange(
         sender=own_digest(state),
-        members=_sample(state, now, rng),
+        members=_sample_members(state, now, rng),
         leaving=tuple(sorted(state.workers.leaving)),
         evidence=evidence,
         usage=usage,
         suspended=_suspensions(state, now),
         fresh_age=fresh_age(state, now),
-        witness=may_witness(state),
+        witness=is_witness(state),
     )
 
 
-def answer(
+def answer_exchange(
     state: State, received: Exchange, now: Millis, wall: Millis, rng: random.Random
 ) -> ExchangeAnswer:
     """Apply a peer's message and return the answer to it."""
-    hear(state, received, now, wall)
+    apply_exchange(state, received, now, wall)
     records, snapshot = records_from(state, received.sender.offset)
-    message = tell(state, received.sender.incarnation, now, rng)
+    message = build_exchange(state, received.sender.incarnation, now, rng)
     return ExchangeAnswer(message, records, snapshot)
 
 
-def hear(state: State, message: Exchange, now: Millis, wall: Millis) -> None:
+def apply_exchange(state: State, message: Exchange, now: Millis, wall: Millis) -> None:
     """Apply a peer's message, except for what only an answer can prove."""
-    hear_member(state, message.sender, now)
+    merge_member(state, message.sender, now)
     for row in message.members:
-        hear_member(state, row, now)
+        merge_member(state, row, now)
     state.workers.leaving.update(message.leaving)
     merge_counts(state.evidence, message.evidence, wall)
     hear_usage(state.usage, message.usage, state.identity.incarnation, now)
     for suspension in message.suspended:
-        _hear_suspension(state, suspension, now)
+        _apply_suspension(state, suspension, now)
 
 
-def hear_answer(
+def apply_exchange_answer(
     state: State, answer: ExchangeAnswer, sent: Millis, now: Millis, wall: Millis
 ) -> None:
     """Apply the answer to an exchange that this box began at `sent`.
@@ -100,18 +102,18 @@
     can only make this box overestimate the age of its configuration.
     """
     if answer.snapshot is not None:
-        take_snapshot(state, answer.snapshot)
-    take_records(state, answer.records)
-    hear(state, answer.told, now, wall)
+        apply_snapshot(state, answer.snapshot)
+    apply_records(state, answer.records)
+    apply_exchange(state, answer.told, now, wall)
     if state.config.next_offset < answer.told.sender.offset:
         return
-    _note_answer(state, answer.told, sent)
+    _record_answer(state, answer.told, sent)
     for row in answer.told.members:
         if row.witness_age != NEVER and row.offset <= state.config.next_offset:
-            _witness(state, row.box, Millis(sent - row.witness_age))
+            _record_witness(state, row.box, Millis(sent - row.witness_age))
     if answer.told.fresh_age != NEVER:
-        prove_fresh(state, Millis(sent - answer.told.fresh_age))
-    prove_fresh(state, quorum_time(state, now))
+        record_fresh_proof(state, Millis(sent - answer.told.fresh_age))
+    record_fresh_proof(state, quorum_time(state, now))
 
 
 def own_digest(state: State) -> MemberDigest:
@@ -128,7 +130,7 @@
     )
 
 
-def hear_member(state: State, member: MemberDigest, now: Millis) -> None:
+def merge_member(state: State, member: MemberDigest, now: Millis) -> None:
     """Merge a member's row; its heartbeat counts only if it rose."""
     if member.box == state.identity.box:
         return
@@ -172,16 +174,16 @@
     return rng.choice(preferred or other)
 
 
-def forget_silent(state: State, now: Millis) -> None:
+def drop_silent_members(state: State, now: Millis) -> None:
     """Drop unlisted peers that were silent for long, and expired suspensions."""
     for box, row in list(state.members.rows.items()):
-        if now - row.heard > FORGET_MS and box not in state.members.listed:
+        if now - row.heard > MEMBER_RETENTION_MS and box not in state.members.listed:
             del state.members.rows[box]
     known = {row.incarnation for row in state.members.rows.values()}
     for incarnation in set(state.evidence_sent) - known:
         del state.evidence_sent[incarnation]
     for version, suspended in list(state.suspended.items()):
-        if now - suspended.since > SUSPENSION_MS:
+        if now - suspended.since > MAX_SUSPENSION_MS:
             del state.suspended[version]
 
 
@@ -198,17 +200,19 @@
     )
 
 
-def _sample(state: State, now: Millis, rng: random.Random) -> tuple[MemberDigest, ...]:
+def _sample_members(
+    state: State, now: Millis, rng: random.Random
+) -> tuple[MemberDigest, ...]:
     rows = list(state.members.rows.values())
     near = [row for row in rows if row.domain == state.identity.domain]
     far = [row for row in rows if row.domain != state.identity.domain]
-    half = MEMBERS_A_ROUND // 2
-    sample = rng.sample(near, min(len(near), MEMBERS_A_ROUND - min(half, len(far))))
-    sample += rng.sample(far, min(len(far), MEMBERS_A_ROUND - len(sample)))
-    return tuple(_digest(row, now) for row in sample)
+    half = MEMBERS_PER_MESSAGE // 2
+    sample = rng.sample(near, min(len(near), MEMBERS_PER_MESSAGE - min(half, len(far))))
+    sample += rng.sample(far, min(len(far), MEMBERS_PER_MESSAGE - len(sample)))
+    return tuple(_member_digest(row, now) for row in sample)
 
 
-def _digest(row: MemberRow, now: Millis) -> MemberDigest:
+def _member_digest(row: MemberRow, now: Millis) -> MemberDigest:
     age_ms = (
         NEVER if row.witnessed_at == NEVER else Millis(max(0, now - row.witnessed_at))
     )
@@ -224,7 +228,7 @@
     )
 
 
-def _note_answer(state: State, message: Exchange, sent: Millis) -> None:
+def _record_answer(state: State, message: Exchange, sent: Millis) -> None:
     row = state.members.rows.get(message.sender.box)
     if row is None or row.incarnation != message.sender.incarnation:
         return
@@ -234,7 +238,7 @@
         row.witnessed_at = max(row.witnessed_at, sent)
 
 
-def _witness(state: State, box: BoxId, at: Millis) -> None:
+def _record_witness(state: State, box: BoxId, at: Millis) -> None:
     row = state.members.rows.get(box)
     if row is not None:
         row.witnessed_at = max(row.witnessed_at, at)
@@ -247,11 +251,11 @@
     )
 
 
-def _hear_suspension(state: State, suspension: Suspension, now: Millis) -> None:
+def _apply_suspension(state: State, suspension: Suspension, now: Millis) -> None:
     rollout = state.config.rollouts.get(suspension.rollout)
     if rollout is not None and rollout.state.value == "pulled_back":
         return
-    if suspension.version not in state.suspended and suspension.age < SUSPENSION_MS:
+    if suspension.version not in state.suspended and suspension.age < MAX_SUSPENSION_MS:
         state.suspended[suspension.version] = SuspendedRow(
             suspension.rollout,
             suspension.stage,
@@ -260,7 +264,7 @@
         )
 
 
-def rank(state: State, duty: str, now: Millis, suspect_ms: int) -> int:
+def duty_rank(state: State, duty: str, now: Millis, suspect_ms: int) -> int:
     """Return this box's place among the live ones for a duty that needs no lease.
 
     The first box performs the duty and the others wait for their turn, so that it is
--- a/src/spanshunt/systems/journaling.py
+++ b/src/spanshunt/systems/journaling.py
@@ -28,11 +28,11 @@
 from ..tables.journal import JournalCopy
 from ..utils import digest
 
-BATCH_ENTRIES = 2_000
+MAX_BATCH_ENTRIES = 2_000
 """Maximum number of entries in one record of the log; at some 250 bytes each, this is
 0.5 MB."""
 
-COVERAGE_MS = 7 * 86_400_000
+COVERAGE_RETENTION_MS = 7 * 86_400_000
 """How long after the last bill of an incarnation its entries may arrive again, in
 ms."""
 
@@ -40,14 +40,14 @@
 """Number of tokens that a price is for."""
 
 
-class OwnerGone(t.Protocol):
+class IsOwnerGone(t.Protocol):
     """Tells whether an incarnation is known to be gone, or was silent for too long."""
 
     def __call__(self, incarnation: Incarnation, heard: Millis) -> bool:
         """Return True if the holders of its copies must append them."""
 
 
-def price(version: VersionRow, prompt_tokens: int, output_tokens: int) -> Usage:
+def priced_usage(version: VersionRow, prompt_tokens: int, output_tokens: int) -> Usage:
     """Return the usage of an attempt on `version`, with its price rounded up."""
     scaled_cost = (
         prompt_tokens * version.prompt_price + output_tokens * version.output_price
@@ -66,7 +66,7 @@
     return Usage(t.cast("t.Any", ""), 0, 0, service.call_price)
 
 
-def seal(
+def record_bill(
     journal: Journal,
     request: RequestId,
     org: OrgId,
@@ -85,15 +85,15 @@
     """Return the oldest own entries that are not on the log, or None."""
     if not journal.open:
         return None
-    seqs = sorted(journal.open)[:BATCH_ENTRIES]
+    seqs = sorted(journal.open)[:MAX_BATCH_ENTRIES]
     entries = tuple(journal.open[seq] for seq in seqs)
     return Bills((JournalPart(journal.incarnation, entries),))
 
 
-def orphan_batch(journal: Journal, gone: OwnerGone) -> Bills | None:
+def orphan_batch(journal: Journal, gone: IsOwnerGone) -> Bills | None:
     """Return the copies whose owners are gone, or None if there are none."""
     parts = []
-    remaining = BATCH_ENTRIES
+    remaining = MAX_BATCH_ENTRIES
     for incarnation, copies in sorted(journal.copies.items()):
         if remaining == 0 or not copies.entries or not gone(incarnation, copies.heard):
             continue
@@ -105,7 +105,7 @@
     return Bills(tuple(parts)) if parts else None
 
 
-def settle(journal: Journal, bills: Bills) -> None:
+def settle_bills(journal: Journal, bills: Bills) -> None:
     """Drop the entries of `bills`, which are on the log."""
     for part in bills.parts:
         if part.incarnation == journal.incarnation:
@@ -116,7 +116,7 @@
             held.pop(entry.seq, None)
 
 
-def first_open(journal: Journal) -> int:
+def first_open_seq(journal: Journal) -> int:
     """Return the first own sequence number that is not on the log.
 
     All numbers before it are on the log.
@@ -124,7 +124,7 @@
     return min(journal.open, default=journal.next_seq)
 
 
-def take_copies(
+def store_copies(
     journal: Journal,
     owner: Incarnation,
     entries: tuple[BillEntry, ...],
@@ -140,7 +140,7 @@
         del copies.entries[seq]
 
 
-def forget_empty(journal: Journal, gone: OwnerGone) -> None:
+def drop_empty_copies(journal: Journal, gone: IsOwnerGone) -> None:
     """Drop the rows of owners that are gone and whose entries are all on the log."""
     for incarnation, copies in list(journal.copies.items()):
         if not copies.entries and gone(incarnation, copies.heard):
@@ -157,7 +157,7 @@
             if not coverage.add(entry.seq):
                 fold.doubled += 1
                 continue
-            _count(fold, entry)
+            _add_to_totals(fold, entry)
             fresh.append(entry)
     return tuple(fresh)
 
@@ -198,13 +198,13 @@
     covered = {
         incarnation: row
         for incarnation, row in fold.covered.items()
-        if newest - row.latest < COVERAGE_MS
+        if newest - row.latest < COVERAGE_RETENTION_MS
     }
     trimmed = msgspec.structs.replace(fold, covered=covered)
     return BillsSnapshot(fold=trimmed, hash=digest(trimmed))
 
 
-def _count(fold: BillFold, entry: BillEntry) -> None:
+def _add_to_totals(fold: BillFold, entry: BillEntry) -> None:
     services = fold.totals.setdefault(entry.org, {})
     total = services.setdefault(entry.service, OrgTotal())
     total.requests += 1
--- a/src/spanshunt/systems/planner.py
+++ b/src/spanshunt/systems/planner.py
@@ -43,7 +43,7 @@
 from ..tables.config import VersionState
 from ..utils import digest
 from ..utils import hash_secret
-from .fold import clone
+from .fold import copy_config
 
 
 class IntentProblem(msgspec.Struct, frozen=True):
@@ -60,7 +60,7 @@
     config: Config, intents: tuple[Intent, ...]
 ) -> Result[Plan, IntentProblem]:
     """Plan `intents`, in order, on top of `config`."""
-    draft = clone(config)
+    draft = copy_config(config)
     changes: list[Change] = []
     read: set[ObjectKey] = set()
     for index, intent in enumerate(intents):
@@ -74,7 +74,9 @@
     base = {key: int(config.revision(key)) for key in sorted(touched)}
     planned = tuple(changes)
     name = PlanId(digest([planned, base]))
-    return Ok(Plan(name=name, changes=planned, base=base, notes=_notes(draft, planned)))
+    return Ok(
+        Plan(name=name, changes=planned, base=base, notes=_plan_notes(draft, planned))
+    )
 
 
 def _plan_one(draft: Config, intent: Intent, read: set[ObjectKey]) -> Planned:
@@ -99,9 +101,9 @@
         case SetQuality():
             return _set_quality(draft, intent, read)
         case EnterVersion():
-            return _enter(draft, intent, read)
+            return _enter_version(draft, intent, read)
         case LeaveVersion():
-            return _leave(draft, intent)
+            return _withdraw_version(draft, intent)
 
 
 def _put_service(draft: Config, row: ServiceRow) -> Planned:
@@ -117,7 +119,9 @@
     service = draft.services.get(ServiceId(intent.service))
     read.add(service_key(ServiceId(intent.service)))
     if service is None or service.kind is not ServiceKind.MODEL:
-        return Err(_unknown("service", intent.service, _model_services(draft)))
+        return Err(
+            _unknown_name("service", intent.service, _model_service_names(draft))
+        )
     known = draft.versions.get(VersionId(intent.version))
     if known is not None and known.state is VersionState.WITHDRAWN:
         problem = f"{intent.version} was withdrawn; declare it under a new version"
@@ -152,14 +156,14 @@
 def _change_allowed(draft: Config, intent: AllowVersions | DisallowVersions) -> Planned:
     row = draft.orgs.get(OrgId(intent.org))
     if row is None:
-        return Err(_unknown("org", intent.org, list(draft.orgs)))
+        return Err(_unknown_name("org", intent.org, list(draft.orgs)))
     if isinstance(intent, AllowVersions):
         added = tuple(name for name in intent.allowed if name not in row.allowed)
         allowed = row.allowed + added
     else:
         absent = [name for name in intent.allowed if name not in row.allowed]
         if absent:
-            return Err(_unknown("allowed", absent[0], list(row.allowed)))
+            return Err(_unknown_name("allowed", absent[0], list(row.allowed)))
         allowed = tuple(name for name in row.allowed if name not in intent.allowed)
     return _put_org(draft, msgspec.structs.replace(row, allowed=allowed), "allowed")
 
@@ -167,7 +171,7 @@
 def _change_org(draft: Config, intent: SetCredentials | SetLimits) -> Planned:
     row = draft.orgs.get(OrgId(intent.org))
     if row is None:
-        return Err(_unknown("org", intent.org, list(draft.orgs)))
+        return Err(_unknown_name("org", intent.org, list(draft.orgs)))
     if isinstance(intent, SetLimits):
         return _put_org(
             draft, msgspec.structs.replace(row, limits=intent.limits), "limits"
@@ -181,8 +185,8 @@
 def _put_org(draft: Config, row: OrgRow, field: str) -> Planned:
     for name in row.allowed:
         if not _is_known(draft, name):
-            known = sorted({*draft.services, *draft.versions, *_models(draft)})
-            return Err(_unknown(field, name, known))
+            known = sorted({*draft.services, *draft.versions, *_model_names(draft)})
+            return Err(_unknown_name(field, name, known))
     used = {
         secret
         for other in draft.orgs.values()
@@ -199,10 +203,10 @@
 def _set_quality(draft: Config, intent: SetQuality, read: set[ObjectKey]) -> Planned:
     service = draft.services.get(ServiceId(intent.service))
     if service is None:
-        return Err(_unknown("service", intent.service, list(draft.services)))
+        return Err(_unknown_name("service", intent.service, list(draft.services)))
     names = [row.name for row in service.classes]
     if service.request_class(ClassId(intent.request_class)) is None:
-        return Err(_unknown("request_class", intent.request_class, names))
+        return Err(_unknown_name("request_class", intent.request_class, names))
     if not intent.org:
         classes = tuple(
             msgspec.structs.replace(row, target=intent.target)
@@ -214,16 +218,18 @@
     read.add(service_key(ServiceId(intent.service)))
     row = draft.orgs.get(OrgId(intent.org))
     if row is None:
-        return Err(_unknown("org", intent.org, list(draft.orgs)))
+        return Err(_unknown_name("org", intent.org, list(draft.orgs)))
     path = f"{intent.service}/{intent.request_class}"
     targets = {**row.targets, path: intent.target}
     return _put_org(draft, msgspec.structs.replace(row, targets=targets), "org")
 
 
-def _enter(draft: Config, intent: EnterVersion, read: set[ObjectKey]) -> Planned:
+def _enter_version(
+    draft: Config, intent: EnterVersion, read: set[ObjectKey]
+) -> Planned:
     version = draft.versions.get(VersionId(intent.version))
     if version is None:
-        return Err(_unknown("version", intent.version, list(draft.versions)))
+        return Err(_unknown_name("version", intent.version, list(draft.versions)))
     if version.state is not VersionState.DECLARED:
         problem = (
             f"{version.name} is {version.state.value}; only a declared one can enter"
@@ -239,10 +245,10 @@
     return Ok([StartRollout(VersionId(version.name), guards)])
 
 
-def _leave(draft: Config, intent: LeaveVersion) -> Planned:
+def _withdraw_version(draft: Config, intent: LeaveVersion) -> Planned:
     version = draft.versions.get(VersionId(intent.version))
     if version is None:
-        return Err(_unknown("version", intent.version, list(draft.versions)))
+        return Err(_unknown_name("version", intent.version, list(draft.versions)))
     if version.state is VersionState.WITHDRAWN:
         return Err(IntentProblem("version", f"{version.name} is already withdrawn"))
     withdrawn = msgspec.structs.replace(version, state=VersionState.WITHDRAWN)
@@ -258,13 +264,13 @@
     return ""
 
 
-def _notes(draft: Config, changes: tuple[Change, ...]) -> tuple[str, ...]:
+def _plan_notes(draft: Config, changes: tuple[Change, ...]) -> tuple[str, ...]:
     lines = [change.describe() for change in changes]
     for change in changes:
         if isinstance(change, WithdrawVersion):
             lines.extend(_withdrawal_warnings(draft, change.version))
         if isinstance(change, StartRollout):
-            lines.append(_least_time(change.guards))
+            lines.append(_min_duration_note(change.guards))
     return tuple(lines)
 
 
@@ -286,26 +292,28 @@
     return [f"warning: left with no active version of {gone.service}: {names}"]
 
 
-def _least_time(guards: GuardRails) -> str:
+def _min_duration_note(guards: GuardRails) -> str:
     seconds = len(guards.stages) * guards.stage_ms / 1000
     ratings = len(guards.stages) * guards.stage_ratings
     return f"a successful roll-out takes at least {seconds:.0f} s, {ratings} ratings"
 
 
 def _is_known(draft: Config, name: str) -> bool:
-    return name in draft.services or name in draft.versions or name in _models(draft)
+    return (
+        name in draft.services or name in draft.versions or name in _model_names(draft)
+    )
 
 
-def _models(draft: Config) -> set[str]:
+def _model_names(draft: Config) -> set[str]:
     return {str(row.model) for row in draft.versions.values()}
 
 
-def _model_services(draft: Config) -> list[str]:
+def _model_service_names(draft: Config) -> list[str]:
     return [
         row.name for row in draft.services.values() if row.kind is ServiceKind.MODEL
     ]
 
 
-def _unknown(field: str, value: str, known: t.Iterable[str]) -> IntentProblem:
+def _unknown_name(field: str, value: str, known: t.Iterable[str]) -> IntentProblem:
     allowed = ", ".join(sorted(known)) or "none is declared yet"
     return IntentProblem(field, f"{value!r} is not known; allowed: {allowed}")
--- a/src/spanshunt/systems/proving.py
+++ b/src/spanshunt/systems/proving.py
@@ -10,11 +10,11 @@
 from ..ids import Offset
 from ..tables.fleet import CatalogProof
 from ..tables.fleet import Fleet
-from .following_workers import HEARD_MS
-from .following_workers import is_served
-from .following_workers import reader_of
+from .following_workers import PEER_TIMEOUT_MS
+from .following_workers import find_list_reader
+from .following_workers import is_served_by_store
 
-FIRST_PART, READER_PART, OWN_PART = 0.35, 0.6, 0.75
+FLEET_FRACTION, DOMAIN_FRACTION, BOX_FRACTION = 0.35, 0.6, 0.75
 """Ages at which a proof is renewed, as fractions of the time within which a change must
 be in force: by the first box of all that hear each other, by the first box of each
 failure domain, and by any box. The long poll of the first box ends before its age is
@@ -22,22 +22,22 @@
 a box that is cut off from it probes for itself, and what it finds is in force in
 time."""
 
-PROBE_PART = 0.2
+PROBE_TIMEOUT_FRACTION = 0.2
 """Time limit of a probe, as a fraction of the same time: a slow store answers within
 it, and a second probe still fits in."""
 
-FINAL_PART = 0.5
+REFUSAL_PROOF_FRACTION = 0.5
 """A proof older than this fraction of the same time is renewed before a request is
 refused for good: nearly all proofs are younger while boxes hear each other."""
 
 
-def prove_catalog(fleet: Fleet, at: Millis, end: Offset) -> None:
+def record_catalog_read(fleet: Fleet, at: Millis, end: Offset) -> None:
     """Record that this box read all records up to `end` in a read begun at `at`."""
     if at > fleet.catalog_proof.at:
         fleet.catalog_proof = CatalogProof(at, end, fleet.identity.box)
 
 
-def take_told_proof(fleet: Fleet, version: int, told: CatalogProof) -> None:
+def merge_peer_proof(fleet: Fleet, version: int, told: CatalogProof) -> None:
     """Merge a peer's proof for a catalog version, if this box has that version."""
     if told.source < fleet.identity.box:
         fleet.preceding_box_proof_at = max(fleet.preceding_box_proof_at, told.at)
@@ -51,33 +51,35 @@
     return Millis(now - proof.at if proof.at >= 0 else -1)
 
 
-def newest_told(fleet: Fleet) -> int:
+def newest_reported_version(fleet: Fleet) -> int:
     """Return the newest catalog version that any peer reports; -1 for none."""
     return max((peer.catalog_version for peer in fleet.peers.values()), default=-1)
 
 
-def is_proved(fleet: Fleet, now: Millis, most_ms: float) -> bool:
+def is_catalog_proved(fleet: Fleet, now: Millis, most_ms: float) -> bool:
     """Return whether the catalog was the newest within the last `most_ms`.
 
     It was not if a peer reports a newer version.
     """
     age = proof_age(fleet, now)
-    return 0 <= age <= most_ms and newest_told(fleet) <= fleet.catalog_version
+    return (
+        0 <= age <= most_ms and newest_reported_version(fleet) <= fleet.catalog_version
+    )
 
 
-def is_first(fleet: Fleet, now: Millis, in_force_ms: int) -> bool:
+def is_fleet_prober(fleet: Fleet, now: Millis, in_force_ms: int) -> bool:
     """Return whether this box proves the catalog for the fleet.
 
     The first box by name of those that are heard and served does. In a large fleet a
     box hears few others: it is not the first while one before it proves.
     """
     proved = fleet.preceding_box_proof_at
-    if proved >= 0 and now - proved < READER_PART * in_force_ms:
+    if proved >= 0 and now - proved < DOMAIN_FRACTION * in_force_ms:
         return False
-    return is_served(fleet, now) and all(
+    return is_served_by_store(fleet, now) and all(
         fleet.identity.box < peer.box
         for peer in fleet.peers.values()
-        if 0 <= peer.heard > now - HEARD_MS and peer.served
+        if 0 <= peer.heard > now - PEER_TIMEOUT_MS and peer.served
     )
 
 
@@ -88,14 +90,16 @@
     store is back.
     """
     age = proof_age(fleet, now)
-    if fleet.catalog is None or age < FIRST_PART * in_force_ms:
+    if fleet.catalog is None or age < FLEET_FRACTION * in_force_ms:
         return False
-    return age >= _part(fleet, now, in_force_ms) * in_force_ms and is_served(fleet, now)
+    return age >= _renewal_fraction(
+        fleet, now, in_force_ms
+    ) * in_force_ms and is_served_by_store(fleet, now)
 
 
-def _part(fleet: Fleet, now: Millis, in_force_ms: int) -> float:
-    if is_first(fleet, now, in_force_ms):
-        return FIRST_PART
-    if reader_of(fleet, now) == fleet.identity.box:
-        return READER_PART
-    return OWN_PART
+def _renewal_fraction(fleet: Fleet, now: Millis, in_force_ms: int) -> float:
+    if is_fleet_prober(fleet, now, in_force_ms):
+        return FLEET_FRACTION
+    if find_list_reader(fleet, now) == fleet.identity.box:
+        return DOMAIN_FRACTION
+    return BOX_FRACTION
--- a/src/spanshunt/systems/ramping.py
+++ b/src/spanshunt/systems/ramping.py
@@ -18,7 +18,7 @@
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Verdict
 from ..utils import unit_hash
-from .eras import COPY_AGE_MS
+from .eras import MAX_COPY_AGE_MS
 from .eras import era_of
 from .eras import is_same_offset
 from .eras import offset_of
@@ -183,7 +183,7 @@
     is_same_content = version == known.version and duration_ms == known.duration_ms
     if not is_same_content or era_of(order) == era_of(known.newest_order):
         return False
-    oldest = fleet.store.era_began - COPY_AGE_MS
+    oldest = fleet.store.era_began - MAX_COPY_AGE_MS
     return is_same_offset(order, known.newest_order) or known.began >= oldest
 
 
--- a/src/spanshunt/systems/throttling.py
+++ b/src/spanshunt/systems/throttling.py
@@ -18,8 +18,8 @@
 from ..tables.notices import RateLimiter
 from ..tables.workers import WorkerRow
 from .fleet_size import box_count
-from .fleet_size import may_be_alone
-from .fleet_size import turn_of
+from .fleet_size import is_discovery_finished
+from .fleet_size import stagger_fraction
 
 GRANTED_PART = 0.9
 """Part of the rate that boxes share out. The rest is for boxes which disagree on how
@@ -102,7 +102,7 @@
     assert limit.per_s is not None
     grants = _refresh(fleet, row, limit.per_s, now)
     opens_at = grants.next_grant_at
-    if not may_be_alone(fleet, now):
+    if not is_discovery_finished(fleet, now):
         opens_at = max(opens_at, fleet.discovery_until)
     wait_ms = 0 if eager else YOUNG_MS
     return Millis(math.ceil(max(0.0, opens_at + wait_ms - now)))
@@ -145,7 +145,7 @@
     period_ms = 1_000 * box_count(fleet) / rate
     grants = row.rate_limiter
     if grants is None:
-        opens_at = now + turn_of(fleet, f"limit {row.name}") * period_ms
+        opens_at = now + stagger_fraction(fleet, f"limit {row.name}") * period_ms
         grants = row.rate_limiter = RateLimiter(opens_at, period_ms)
     if grants.period_ms != period_ms:
         # A grant that is not open yet keeps its place among those of the others.
--- a/src/spanshunt/systems/warming.py
+++ b/src/spanshunt/systems/warming.py
@@ -12,7 +12,7 @@
 from ..tables.workers import WorkerRow
 from ..utils import unit_hash
 from .fleet_size import box_count
-from .fleet_size import may_be_alone
+from .fleet_size import is_discovery_finished
 
 BOUND_PART = 1 / 3
 """Part of what a cold worker may get in a second that boxes send it by plan. The rest
@@ -37,7 +37,7 @@
     if rate <= 0.0:
         return True
     boxes = box_count(fleet)
-    if not may_be_alone(fleet, now):
+    if not is_discovery_finished(fleet, now):
         return False
     if unit_hash("cold", row.name, fleet.identity.box) >= rate / boxes:
         return False
--- a/src/spanshunt/worker_notices.py
+++ b/src/spanshunt/worker_notices.py
@@ -14,7 +14,7 @@
 from .logs import log_event
 from .peers.news import News
 from .ports import Answer
-from .systems.following_workers import note_leaving
+from .systems.following_workers import record_leaving_notice
 from .systems.resting import note_rest
 from .systems.resting import rest_left_ms
 from .systems.throttling import is_over
@@ -69,7 +69,7 @@
 def _note_leaving(core: Core, state: CatalogRequest, worker: WorkerRow) -> None:
     """Take in that a worker leaves, and tell peers: its entry may say so much later."""
     word = LeavingNotice(core.clock.now(), core.fleet.identity.box)
-    if note_leaving(core.fleet, worker, word):
+    if record_leaving_notice(core.fleet, worker, word):
         core.count("workers_leaving")
         _log_leaving(worker, request=state.request)
         core.tell_now()
@@ -180,7 +180,7 @@
         if row is None or row.born != told.born:
             continue
         at = Millis((now if told_at is None else told_at) - told.age_ms)
-        if at >= row.notices_since and note_leaving(
+        if at >= row.notices_since and record_leaving_notice(
             fleet, row, LeavingNotice(at, told.source)
         ):
             _log_leaving(row)
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -19,7 +19,7 @@
 from spanshunt.records import encode_record
 from spanshunt.systems.fold import fold_record
 from spanshunt.systems.fold import snapshot_of
-from spanshunt.systems.fold import verified
+from spanshunt.systems.fold import verify_snapshot
 from spanshunt.systems.planner import make_plan
 from spanshunt.tables.config import RolloutState
 from spanshunt.tables.config import VersionState
@@ -81,13 +81,13 @@
     def test_snapshot_comes_back_whole(self):
         config = base_config()
         raw = encode_record(snapshot_of(config))
-        found = verified(decode_record(raw).unwrap())
+        found = verify_snapshot(decode_record(raw).unwrap())
         assert found == config
 
     def test_altered_snapshot_is_not_taken(self):
         snapshot = snapshot_of(base_config())
         del snapshot.config.versions[CHEAP]
-        assert verified(snapshot) is None
+        assert verify_snapshot(snapshot) is None
 
 
 class TestRolloutSteps:
--- a/tests/test_following_machine.py
+++ b/tests/test_following_machine.py
@@ -23,14 +23,14 @@
 from spanshunt.ids import DomainId
 from spanshunt.ids import Millis
 from spanshunt.ids import Offset
-from spanshunt.systems.following_workers import RETURN_GRACE_MS
+from spanshunt.systems.following_workers import ENTRY_GRACE_MS
 from spanshunt.systems.following_workers import ListedWorker
-from spanshunt.systems.following_workers import drop_missing
-from spanshunt.systems.following_workers import must_read
-from spanshunt.systems.following_workers import note_reading
-from spanshunt.systems.following_workers import note_store_answer
-from spanshunt.systems.following_workers import note_store_failure
-from spanshunt.systems.following_workers import take_list
+from spanshunt.systems.following_workers import apply_worker_list
+from spanshunt.systems.following_workers import drop_missing_workers
+from spanshunt.systems.following_workers import must_read_list
+from spanshunt.systems.following_workers import record_list_read
+from spanshunt.systems.following_workers import record_store_answer
+from spanshunt.systems.following_workers import record_store_failure
 from spanshunt.tables.fleet import PeerRow
 
 DRAINING_MS = 2_000
@@ -122,7 +122,7 @@
                 if self.rng.random() < 0.8:
                     self.lapsed[name] = now + self.rng.randrange(200, 1_800)
                 else:
-                    self.left[name] = now + RETURN_GRACE_MS
+                    self.left[name] = now + ENTRY_GRACE_MS
 
     @rule(number=st.integers(0, 3), ticks=st.integers(5, 60))
     def box_is_cut_off(self, number, ticks):
@@ -168,21 +168,21 @@
 
     def _read(self, box: OneBox, now: Millis) -> None:
         fleet = box.fleet
-        drop_missing(fleet, now)
-        if now < box.read_next or not must_read(fleet, now, DRAINING_MS):
+        drop_missing_workers(fleet, now)
+        if now < box.read_next or not must_read_list(fleet, now, DRAINING_MS):
             return
         if box.cut or box.refused or not self.up:
-            note_store_failure(fleet, now)
+            record_store_failure(fleet, now)
             box.read_next = now + 4 * TICK_MS
             return
-        note_store_answer(fleet)
+        record_store_answer(fleet)
         box.read_next = now + READ_TICKS * TICK_MS
         rows = [
             ListedWorker(make_worker(name), draining)
             for name, draining in self.entries.items()
         ]
-        note_reading(fleet, now)
-        take_list(fleet, rows, Offset(self.end), now)
+        record_list_read(fleet, now)
+        apply_worker_list(fleet, rows, Offset(self.end), now)
         fleet.workers_read_at = now
 
     def _exchange(self, box: OneBox) -> None:
@@ -213,7 +213,7 @@
         now = self.clock.now()
         for box in self.boxes:
             struck = box.cut or now < box.struck + CALM_MS
-            if struck or now < self.unstable + CALM_MS + RETURN_GRACE_MS:
+            if struck or now < self.unstable + CALM_MS + ENTRY_GRACE_MS:
                 continue
             known = {
                 name for name in self._living() if now > self.listed[name] + CALM_MS
--- a/tests/test_following_workers.py
+++ b/tests/test_following_workers.py
@@ -11,15 +11,15 @@
 from spanshunt.peers.news_rows import listed as told_worker
 from spanshunt.peers.news_rows import workers_news
 from spanshunt.systems.following_workers import ListedWorker
-from spanshunt.systems.following_workers import drop_missing
-from spanshunt.systems.following_workers import follows_operators
+from spanshunt.systems.following_workers import apply_worker_list
+from spanshunt.systems.following_workers import drop_missing_workers
+from spanshunt.systems.following_workers import find_list_reader
+from spanshunt.systems.following_workers import follows_operator_records
 from spanshunt.systems.following_workers import list_digest
-from spanshunt.systems.following_workers import must_read
-from spanshunt.systems.following_workers import note_reading
-from spanshunt.systems.following_workers import note_store_answer
-from spanshunt.systems.following_workers import note_store_failure
-from spanshunt.systems.following_workers import reader_of
-from spanshunt.systems.following_workers import take_list
+from spanshunt.systems.following_workers import must_read_list
+from spanshunt.systems.following_workers import record_list_read
+from spanshunt.systems.following_workers import record_store_answer
+from spanshunt.systems.following_workers import record_store_failure
 from spanshunt.tables.catalog import Catalog
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
@@ -35,36 +35,38 @@
 
 def test_draining_and_gone_workers_get_nothing_more():
     fleet = make_fleet()
-    take_list(fleet, listed("a", "b", "c"), Offset(3), ms(1))
-    change = take_list(fleet, listed("a", "b", draining=("b",)), Offset(5), ms(2))
+    apply_worker_list(fleet, listed("a", "b", "c"), Offset(3), ms(1))
+    change = apply_worker_list(
+        fleet, listed("a", "b", draining=("b",)), Offset(5), ms(2)
+    )
     assert usable(fleet) == {"a"}
     assert change.leaving == ("b",) and change.gone == ("c",)
 
 
 def test_older_list_is_ignored():
     fleet = make_fleet()
-    take_list(fleet, listed("a"), Offset(9), ms(1))
-    assert take_list(fleet, listed("a", "b"), Offset(8), ms(2)).empty
+    apply_worker_list(fleet, listed("a"), Offset(9), ms(1))
+    assert apply_worker_list(fleet, listed("a", "b"), Offset(8), ms(2)).empty
     assert usable(fleet) == {"a"}
 
 
 def test_row_keeps_what_this_box_knows_of_a_worker():
     fleet = make_fleet()
-    take_list(fleet, listed("a"), Offset(1), ms(1))
+    apply_worker_list(fleet, listed("a"), Offset(1), ms(1))
     fleet.workers.rows["a"].inflight = 3
-    take_list(fleet, listed("a"), Offset(2), ms(2))
+    apply_worker_list(fleet, listed("a"), Offset(2), ms(2))
     assert fleet.workers.rows["a"].inflight == 3
 
 
 def test_entry_that_lapsed_with_the_store_is_waited_for():
     fleet = make_fleet()
-    note_reading(fleet, ms(1))
-    take_list(fleet, listed("a", "b"), Offset(2), ms(1))
-    note_reading(fleet, ms(6))
-    change = take_list(fleet, listed("a"), Offset(4), ms(6))
+    record_list_read(fleet, ms(1))
+    apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
+    record_list_read(fleet, ms(6))
+    change = apply_worker_list(fleet, listed("a"), Offset(4), ms(6))
     assert change.kept == ("b",)
     assert usable(fleet) == {"a", "b"}
-    take_list(fleet, listed("a"), Offset(5), ms(8.1))
+    apply_worker_list(fleet, listed("a"), Offset(5), ms(8.1))
     assert usable(fleet) == {"a"}
 
 
@@ -72,74 +74,74 @@
     """Seen: a worker whose entry went 0.4 s after the store's return was kept and got
     requests that it should not have."""
     fleet = make_fleet()
-    note_reading(fleet, ms(1))
-    take_list(fleet, listed("a", "b"), Offset(2), ms(1))
-    note_reading(fleet, ms(6))
-    take_list(fleet, listed("a", "b"), Offset(4), ms(6))
-    take_list(fleet, listed("a"), Offset(5), ms(6.9))
+    record_list_read(fleet, ms(1))
+    apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
+    record_list_read(fleet, ms(6))
+    apply_worker_list(fleet, listed("a", "b"), Offset(4), ms(6))
+    apply_worker_list(fleet, listed("a"), Offset(5), ms(6.9))
     assert usable(fleet) == {"a"}
 
 
 def test_entry_that_went_while_other_boxes_read_the_list_is_not_waited_for():
     """Seen: a worker left just as one box was no longer cut off, and was kept."""
     fleet = make_fleet()
-    note_reading(fleet, ms(1))
-    take_list(fleet, listed("a", "b"), Offset(2), ms(1))
-    note_reading(fleet, ms(6))
-    assert take_list(fleet, listed("a"), Offset(4), ms(6)).kept == ("b",)
-    note_reading(fleet, ms(5.9), unbroken_since=ms(0.5))
-    assert drop_missing(fleet, ms(6.2)) == ("b",)
+    record_list_read(fleet, ms(1))
+    apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
+    record_list_read(fleet, ms(6))
+    assert apply_worker_list(fleet, listed("a"), Offset(4), ms(6)).kept == ("b",)
+    record_list_read(fleet, ms(5.9), unbroken_since=ms(0.5))
+    assert drop_missing_workers(fleet, ms(6.2)) == ("b",)
     assert usable(fleet) == {"a"}
 
 
 def test_entry_that_a_peer_waits_for_is_not_taken_up_again():
     """Seen: a worker that had gone came back by a peer's list."""
     fleet = make_fleet()
-    take_list(fleet, listed("a", "b"), Offset(2), ms(1))
-    take_list(fleet, listed("a"), Offset(3), ms(2))
+    apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
+    apply_worker_list(fleet, listed("a"), Offset(3), ms(2))
     peer = make_fleet("box-2")
-    note_reading(peer, ms(1))
-    take_list(peer, listed("a", "b"), Offset(2), ms(1))
-    note_reading(peer, ms(5))
-    assert take_list(peer, listed("a"), Offset(4), ms(5)).kept == ("b",)
+    record_list_read(peer, ms(1))
+    apply_worker_list(peer, listed("a", "b"), Offset(2), ms(1))
+    record_list_read(peer, ms(5))
+    assert apply_worker_list(peer, listed("a"), Offset(4), ms(5)).kept == ("b",)
     told = [told_worker(item) for item in workers_news(peer, ms(5))]
-    assert take_list(fleet, told, Offset(4), ms(5.1)).empty
+    assert apply_worker_list(fleet, told, Offset(4), ms(5.1)).empty
     assert usable(fleet) == {"a"}
 
 
 def test_outage_of_all_boxes_breaks_the_row_of_readings():
     fleet = make_fleet()
     for at in (1, 2, 3):
-        note_reading(fleet, ms(at), unbroken_since=ms(0))
-    note_reading(fleet, ms(8), unbroken_since=ms(7.5))
+        record_list_read(fleet, ms(at), unbroken_since=ms(0))
+    record_list_read(fleet, ms(8), unbroken_since=ms(7.5))
     assert fleet.list_read_streak.since == ms(7.5)
-    note_reading(fleet, ms(3), unbroken_since=ms(0))
+    record_list_read(fleet, ms(3), unbroken_since=ms(0))
     assert fleet.list_read_streak.since == ms(7.5)
 
 
 def test_entry_that_comes_back_is_used_again():
     fleet = make_fleet()
-    take_list(fleet, listed("a", "b"), Offset(2), ms(1))
-    take_list(fleet, listed("a"), Offset(3), ms(2))
-    take_list(fleet, listed("a", "b"), Offset(4), ms(3))
+    apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
+    apply_worker_list(fleet, listed("a"), Offset(3), ms(2))
+    apply_worker_list(fleet, listed("a", "b"), Offset(4), ms(3))
     assert usable(fleet) == {"a", "b"}
 
 
 def test_draining_worker_is_not_kept_over_the_stores_return():
     fleet = make_fleet()
-    note_reading(fleet, ms(1))
-    take_list(fleet, listed("a", "b", draining=("b",)), Offset(2), ms(1))
-    note_reading(fleet, ms(3))
-    take_list(fleet, listed("a"), Offset(4), ms(3))
+    record_list_read(fleet, ms(1))
+    apply_worker_list(fleet, listed("a", "b", draining=("b",)), Offset(2), ms(1))
+    record_list_read(fleet, ms(3))
+    apply_worker_list(fleet, listed("a"), Offset(4), ms(3))
     assert usable(fleet) == {"a"}
 
 
 def test_outage_is_told_once():
     fleet = make_fleet()
-    assert note_store_failure(fleet, ms(1))
-    assert not note_store_failure(fleet, ms(2))
-    assert note_store_answer(fleet)
-    assert not note_store_answer(fleet)
+    assert record_store_failure(fleet, ms(1))
+    assert not record_store_failure(fleet, ms(2))
+    assert record_store_answer(fleet)
+    assert not record_store_answer(fleet)
 
 
 def with_peer(box: str, domain: str = "north", heard: float = 9.9) -> Fleet:
@@ -161,7 +163,7 @@
     ids=["first is heard", "is first", "other domain", "first is silent"],
 )
 def test_one_box_of_a_domain_reads_for_the_others(fleet, reads):
-    assert must_read(fleet, ms(10), 2_000) is reads
+    assert must_read_list(fleet, ms(10), 2_000) is reads
 
 
 @pytest.mark.parametrize(
@@ -175,8 +177,8 @@
     fleet = with_peer("box-1")
     fleet.peers["box-1"].served = served
     if refused_at >= 0:
-        note_store_failure(fleet, ms(refused_at))
-    assert reader_of(fleet, ms(10)) == reader
+        record_store_failure(fleet, ms(refused_at))
+    assert find_list_reader(fleet, ms(10)) == reader
 
 
 @pytest.mark.parametrize(
@@ -195,16 +197,16 @@
         row = PeerRow(BoxId(name), "a", DomainId("north"), heard=ms(9.9))
         row.served = name not in refused
         fleet.peers[row.box] = row
-    assert follows_operators(fleet, ms(10))
+    assert follows_operator_records(fleet, ms(10))
     fleet.catalog = Catalog(1, (), {}, ())
-    assert follows_operators(fleet, ms(10)) is follows
+    assert follows_operator_records(fleet, ms(10)) is follows
 
 
 def test_old_list_is_read_by_any_box():
     """A reader that froze is heard no more only after a while; a list ages sooner."""
     fleet = with_peer("box-1", heard=10.9)
-    assert reader_of(fleet, ms(11)) == "box-1"
-    assert must_read(fleet, ms(11), 2_000)
+    assert find_list_reader(fleet, ms(11)) == "box-1"
+    assert must_read_list(fleet, ms(11), 2_000)
 
 
 @pytest.mark.parametrize(("boxes", "tries_at"), [(2, 10.4), (10, 12.0)])
@@ -216,17 +218,17 @@
         row.heard = ms(tries_at)
         fleet.peers[row.box] = row
     fleet.workers_read_at = ms(5)
-    note_store_failure(fleet, ms(10))
-    assert not must_read(fleet, ms(tries_at - 0.05), 2_000)
-    assert must_read(fleet, ms(tries_at), 2_000)
+    record_store_failure(fleet, ms(10))
+    assert not must_read_list(fleet, ms(tries_at - 0.05), 2_000)
+    assert must_read_list(fleet, ms(tries_at), 2_000)
 
 
 def test_lists_that_say_the_same_have_one_digest():
     one, other = make_fleet(), make_fleet()
     for fleet, names in ((one, ("a", "b")), (other, ("b", "a"))):
         assert list_digest(fleet) == 0
-        take_list(fleet, listed(*names), Offset(3), ms(1))
+        apply_worker_list(fleet, listed(*names), Offset(3), ms(1))
         fleet.workers_read_at = ms(1)
     assert list_digest(one) == list_digest(other)
-    take_list(one, listed("a", "b", draining=("b",)), Offset(4), ms(2))
+    apply_worker_list(one, listed("a", "b", draining=("b",)), Offset(4), ms(2))
     assert list_digest(one) != list_digest(other)
--- a/tests/test_journaling.py
+++ b/tests/test_journaling.py
@@ -9,16 +9,16 @@
 from spanshunt.records import LogRecord
 from spanshunt.records import Usage
 from spanshunt.records import encode_record
-from spanshunt.systems.journaling import BATCH_ENTRIES
-from spanshunt.systems.journaling import first_open
+from spanshunt.systems.journaling import MAX_BATCH_ENTRIES
+from spanshunt.systems.journaling import first_open_seq
 from spanshunt.systems.journaling import fold_bill_record
 from spanshunt.systems.journaling import fold_bills
 from spanshunt.systems.journaling import next_batch
 from spanshunt.systems.journaling import orphan_batch
-from spanshunt.systems.journaling import price
-from spanshunt.systems.journaling import seal
-from spanshunt.systems.journaling import settle
-from spanshunt.systems.journaling import take_copies
+from spanshunt.systems.journaling import priced_usage
+from spanshunt.systems.journaling import record_bill
+from spanshunt.systems.journaling import settle_bills
+from spanshunt.systems.journaling import store_copies
 from spanshunt.tables.billing import BillFold
 from spanshunt.tables.config import VersionRow
 
@@ -27,7 +27,7 @@
     journal = a_state().journal
     usage = (Usage("chico@1", 1, 1, 7),)
     entries = tuple(
-        seal(journal, f"r{number}", "museo", "redactor-ia", 0, usage)
+        record_bill(journal, f"r{number}", "museo", "redactor-ia", 0, usage)
         for number in range(count)
     )
     return journal, entries
@@ -59,25 +59,25 @@
 
 class TestJournal:
     def test_batches_are_bounded_and_settle(self):
-        journal, _ = sealed(BATCH_ENTRIES + 5)
+        journal, _ = sealed(MAX_BATCH_ENTRIES + 5)
         batch = next_batch(journal)
-        assert len(batch.parts[0].entries) == BATCH_ENTRIES
-        settle(journal, batch)
-        assert first_open(journal) == BATCH_ENTRIES
+        assert len(batch.parts[0].entries) == MAX_BATCH_ENTRIES
+        settle_bills(journal, batch)
+        assert first_open_seq(journal) == MAX_BATCH_ENTRIES
         assert len(next_batch(journal).parts[0].entries) == 5
 
     def test_copies_go_when_the_owner_says_they_are_on_the_log(self):
         owner, entries = sealed(4)
         holder = a_state("box-2").journal
-        take_copies(holder, owner.incarnation, entries, 0, 0)
+        store_copies(holder, owner.incarnation, entries, 0, 0)
         assert holder.size == 4
-        take_copies(holder, owner.incarnation, (), 3, 0)
+        store_copies(holder, owner.incarnation, (), 3, 0)
         assert holder.size == 1
 
     def test_only_copies_of_owners_that_are_gone_are_taken_over(self):
         owner, entries = sealed(2)
         holder = a_state("box-2").journal
-        take_copies(holder, owner.incarnation, entries, 0, 0)
+        store_copies(holder, owner.incarnation, entries, 0, 0)
         assert orphan_batch(holder, lambda _i, _h: False) is None
         batch = orphan_batch(holder, lambda _i, _h: True)
         assert batch.parts[0].entries == entries
@@ -85,5 +85,5 @@
 
 def test_prices_are_rounded_up():
     row = VersionRow("chico@1", "s", 100, 400)
-    assert price(row, 1, 1).cost == 1
-    assert price(row, 1_000, 1_000).cost == 500
+    assert priced_usage(row, 1, 1).cost == 1
+    assert priced_usage(row, 1_000, 1_000).cost == 500
--- a/tests/test_leaving_words.py
+++ b/tests/test_leaving_words.py
@@ -22,11 +22,11 @@
 from spanshunt.platform.wire import decode_leaving
 from spanshunt.standins.worker import WorkerFault
 from spanshunt.standins.worker import WorkerStandin
-from spanshunt.systems.following_workers import FORMER_KEPT
+from spanshunt.systems.following_workers import MAX_FORMER_WORKERS
 from spanshunt.systems.following_workers import ListedWorker
+from spanshunt.systems.following_workers import apply_worker_list
 from spanshunt.systems.following_workers import list_digest
-from spanshunt.systems.following_workers import note_leaving
-from spanshunt.systems.following_workers import take_list
+from spanshunt.systems.following_workers import record_leaving_notice
 from spanshunt.systems.resting import note_rest
 from spanshunt.systems.resting import rest_left_ms
 from spanshunt.systems.throttling import take_limit
@@ -152,19 +152,23 @@
 
 def test_list_that_lacks_the_word_does_not_take_it_back():
     fleet = fleet_with("a")
-    assert note_leaving(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME))
-    assert not note_leaving(fleet, fleet.workers.rows["a"], LeavingNotice(ms(2), ME))
-    take_list(fleet, [ListedWorker(make_worker("a"), False)], Offset(4), ms(3))
+    assert record_leaving_notice(
+        fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME)
+    )
+    assert not record_leaving_notice(
+        fleet, fleet.workers.rows["a"], LeavingNotice(ms(2), ME)
+    )
+    apply_worker_list(fleet, [ListedWorker(make_worker("a"), False)], Offset(4), ms(3))
     assert "a" in fleet.workers.leaving
 
 
 def test_next_life_of_a_worker_is_not_leaving():
     fleet = fleet_with("a")
     fleet.workers.rows["a"].born = Millis(10)
-    note_leaving(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME))
+    record_leaving_notice(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME))
     again = make_worker("a")
     again.born = Millis(20)
-    take_list(fleet, [ListedWorker(again, False)], Offset(4), ms(3))
+    apply_worker_list(fleet, [ListedWorker(again, False)], Offset(4), ms(3))
     assert "a" not in fleet.workers.leaving
     told = LeavingNews(WorkerId("a"), 10, 0, BoxId("box-2"))
     take_leaving_news(fleet, told_by(fleet, told), ms(4), ms(4))
@@ -175,13 +179,13 @@
     fleet, other = fleet_with("a"), fleet_with("a")
     for one in (fleet, other):
         one.workers_read_at = ms(1)
-    note_leaving(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME))
+    record_leaving_notice(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME))
     assert list_digest(fleet) == list_digest(other)
 
 
 def test_word_is_told_to_peers_with_its_age_and_who_heard_it():
     teller, hearer = fleet_with("a"), fleet_with("a")
-    note_leaving(teller, teller.workers.rows["a"], LeavingNotice(ms(1), ME))
+    record_leaving_notice(teller, teller.workers.rows["a"], LeavingNotice(ms(1), ME))
     (told,) = leavings_news(teller, ms(3))
     assert (told.age_ms, told.source) == (2_000, ME)
     take_leaving_news(hearer, told_by(teller, told), None, ms(9))
@@ -194,14 +198,14 @@
     fleet = fleet_with("a")
     row = fleet.workers.rows["a"]
     row.born = Millis(10)
-    note_leaving(fleet, row, LeavingNotice(ms(1), ME))
+    record_leaving_notice(fleet, row, LeavingNotice(ms(1), ME))
     take_limit(fleet, row, RateLimit(1.5, ms(1), ME), ms(1))
     note_rest(row, Millis(60_000), ms(1))
-    take_list(fleet, [], Offset(4), ms(2))
+    apply_worker_list(fleet, [], Offset(4), ms(2))
     assert "a" not in fleet.workers.rows
     back = make_worker("a")
     back.born = Millis(10)
-    take_list(fleet, [ListedWorker(back, False)], Offset(5), ms(3))
+    apply_worker_list(fleet, [ListedWorker(back, False)], Offset(5), ms(3))
     again = fleet.workers.rows["a"]
     assert "a" in fleet.workers.leaving
     assert again.limit is not None and again.rate_limiter is not None
@@ -212,11 +216,11 @@
     fleet = fleet_with("a")
     row = fleet.workers.rows["a"]
     row.born = Millis(10)
-    note_leaving(fleet, row, LeavingNotice(ms(1), ME))
-    take_list(fleet, [], Offset(4), ms(2))
+    record_leaving_notice(fleet, row, LeavingNotice(ms(1), ME))
+    apply_worker_list(fleet, [], Offset(4), ms(2))
     later = make_worker("a")
     later.born = Millis(20)
-    take_list(fleet, [ListedWorker(later, False)], Offset(5), ms(3))
+    apply_worker_list(fleet, [ListedWorker(later, False)], Offset(5), ms(3))
     assert "a" not in fleet.workers.leaving
     assert fleet.workers.rows["a"].leaving is None
 
@@ -224,6 +228,6 @@
 def test_words_of_workers_that_are_gone_are_kept_of_some_alone():
     fleet = fleet_with(*(f"w-{number}" for number in range(400)))
     for row in list(fleet.workers.rows.values()):
-        note_leaving(fleet, row, LeavingNotice(ms(1), ME))
-    take_list(fleet, [], Offset(4), ms(2))
-    assert len(fleet.workers.former) == FORMER_KEPT
+        record_leaving_notice(fleet, row, LeavingNotice(ms(1), ME))
+    apply_worker_list(fleet, [], Offset(4), ms(2))
+    assert len(fleet.workers.former) == MAX_FORMER_WORKERS
--- a/tests/test_node_store.py
+++ b/tests/test_node_store.py
@@ -12,7 +12,7 @@
 from spanshunt.clock import Clock
 from spanshunt.platform.store_reader import RETRY_MS
 from spanshunt.standins.store import EndpointFault
-from spanshunt.systems.following_workers import READ_GAP_MS
+from spanshunt.systems.following_workers import MAX_READ_GAP_MS
 
 REFUSING = [
     EndpointFault.BUSY,
@@ -135,7 +135,7 @@
         box.endpoint.fault = EndpointFault.BUSY
         lost = "spanshunt_store_status_503"
         await until(lambda: box.node.fleet.store.failing_since >= 0, lost)
-        await asyncio.sleep(READ_GAP_MS / 1_000)
+        await asyncio.sleep(MAX_READ_GAP_MS / 1_000)
         await fleet.store.put("keyed.servers", "p-1", None)
         box.endpoint.fault = EndpointFault.NONE
         await until(lambda: "p-1" in box.node.fleet.missing_workers, "p-1 is missed")
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -36,17 +36,17 @@
 from spanshunt.platform.store import StoreClient
 from spanshunt.platform.store import StoreProblem
 from spanshunt.platform.wire import RolloutStatus
-from spanshunt.systems.eras import COPY_AGE_MS
-from spanshunt.systems.eras import OPERATORS_GRACE_MS
+from spanshunt.systems.eras import MAX_COPY_AGE_MS
+from spanshunt.systems.eras import OPERATOR_REWRITE_GRACE_MS
 from spanshunt.systems.eras import era_of
 from spanshunt.systems.eras import offset_of
-from spanshunt.systems.eras import place_of
-from spanshunt.systems.eras import take_era
+from spanshunt.systems.eras import position_of
+from spanshunt.systems.eras import record_era
 from spanshunt.systems.evacuating import is_emptied
 from spanshunt.systems.evacuating import take_absent
 from spanshunt.systems.evacuating import take_evacuation
 from spanshunt.systems.following_workers import ListedWorker
-from spanshunt.systems.following_workers import take_list
+from spanshunt.systems.following_workers import apply_worker_list
 from spanshunt.systems.quarantining import ENDS_MOST
 from spanshunt.systems.ramping import apply_order
 from spanshunt.systems.ramping import apply_verdict
@@ -60,13 +60,13 @@
 
 
 def ordered(fleet: Fleet, version: str, era: int, offset: int, at: float = 1) -> bool:
-    place = place_of(era, offset)
+    place = position_of(era, offset)
     return apply_order(fleet, SERVICE, VersionId(version), place, ms(24), ms(at))
 
 
 def in_era(era: int = 1) -> Fleet:
     fleet = make_fleet()
-    take_era(fleet, era, Millis(0))
+    record_era(fleet, era, Millis(0))
     return fleet
 
 
@@ -86,17 +86,17 @@
 
 
 def test_place_of_a_later_era_is_the_newer_one():
-    assert place_of(3, 5) > place_of(2, 5_000_000)
-    assert era_of(place_of(3, 5)) == 3
-    assert offset_of(place_of(3, 5)) == 5
+    assert position_of(3, 5) > position_of(2, 5_000_000)
+    assert era_of(position_of(3, 5)) == 3
+    assert offset_of(position_of(3, 5)) == 5
 
 
 def test_first_era_is_no_return():
     fleet = make_fleet()
-    assert not take_era(fleet, 7, ms(1))
-    assert take_era(fleet, 8, ms(2))
-    assert not take_era(fleet, 8, ms(3))
-    assert not take_era(fleet, 7, ms(4))
+    assert not record_era(fleet, 7, ms(1))
+    assert record_era(fleet, 8, ms(2))
+    assert not record_era(fleet, 8, ms(3))
+    assert not record_era(fleet, 7, ms(4))
     assert fleet.store.era == 8
 
 
@@ -104,12 +104,12 @@
     fleet = in_era()
     rows = [make_worker(name) for name in ("a", "b")]
     both = [ListedWorker(row, draining=False, cold_ms=Millis(0)) for row in rows]
-    take_list(fleet, both, place_of(1, 900), ms(1))
-    take_era(fleet, 2, ms(10))
-    change = take_list(fleet, both[:1], place_of(2, 850), ms(10.1))
+    apply_worker_list(fleet, both, position_of(1, 900), ms(1))
+    record_era(fleet, 2, ms(10))
+    change = apply_worker_list(fleet, both[:1], position_of(2, 850), ms(10.1))
     assert change.kept == ("b",) and not change.gone
     assert set(fleet.workers.rows) == {"a", "b"}
-    take_list(fleet, both[:1], place_of(2, 860), ms(12.5))
+    apply_worker_list(fleet, both[:1], position_of(2, 860), ms(12.5))
     assert set(fleet.workers.rows) == {"a"}
 
 
@@ -117,10 +117,10 @@
     """Sessions are drawn by its place: another one would move them midway."""
     fleet = in_era()
     assert ordered(fleet, "v2", 1, 57)
-    take_era(fleet, 2, ms(5))
+    record_era(fleet, 2, ms(5))
     assert not ordered(fleet, "v2", 2, 55, at=9)
     row = fleet.rollouts.rows[SERVICE]
-    assert row.order == place_of(1, 57)
+    assert row.order == position_of(1, 57)
     assert row.began == ms(1)
     assert ordered(fleet, "v3", 2, 56, at=9)
 
@@ -132,7 +132,7 @@
         fleet.rollouts.rows[SERVICE], Verdict.SUCCEEDED, "", ms(2), recorded=True
     )
     assert ordered(fleet, "v3", 1, 57, at=30)
-    take_era(fleet, 2, ms(35))
+    record_era(fleet, 2, ms(35))
     assert not ordered(fleet, "v2", 2, 40, at=35)
     assert fleet.rollouts.rows[SERVICE].version == "v3"
 
@@ -143,8 +143,8 @@
     apply_verdict(
         fleet.rollouts.rows[SERVICE], Verdict.ROLLED_BACK, "", ms(2), recorded=True
     )
-    later = ms(30) + COPY_AGE_MS
-    take_era(fleet, 2, later)
+    later = ms(30) + MAX_COPY_AGE_MS
+    record_era(fleet, 2, later)
     assert not ordered(fleet, "v2", 2, 40, at=later / 1_000)
     assert ordered(fleet, "v2", 2, 41, at=later / 1_000)
 
@@ -153,7 +153,7 @@
     fleet = in_era(2)
     ordered(fleet, "v2", 2, 57)
     assert not ordered(fleet, "v2", 1, 57, at=0.5)
-    assert fleet.rollouts.rows[SERVICE].order == place_of(1, 57)
+    assert fleet.rollouts.rows[SERVICE].order == position_of(1, 57)
 
 
 def test_what_was_written_long_before_is_not_looked_at_again():
@@ -161,19 +161,19 @@
     ordered(fleet, "v2", 1, 40)
     row = fleet.rollouts.rows[SERVICE]
     apply_verdict(row, Verdict.SUCCEEDED, "", ms(2), recorded=True)
-    take_era(fleet, 2, Millis(ms(2) + COPY_AGE_MS + 1))
+    record_era(fleet, 2, Millis(ms(2) + MAX_COPY_AGE_MS + 1))
     assert row.recorded
 
 
 def test_domain_whose_record_the_copy_lacks_stays_emptied_for_a_while():
     fleet = in_era()
     add_worker(fleet, make_worker("w-1"))
-    take_evacuation(fleet, EvacuationRow(NORTH, place_of(1, 9), active=True), ms(1))
-    take_era(fleet, 2, ms(5))
-    assert take_absent(fleet, set(), place_of(2, 8), ms(5.1)) == ()
+    take_evacuation(fleet, EvacuationRow(NORTH, position_of(1, 9), active=True), ms(1))
+    record_era(fleet, 2, ms(5))
+    assert take_absent(fleet, set(), position_of(2, 8), ms(5.1)) == ()
     assert is_emptied(fleet, NORTH)
-    later = Millis(ms(5) + OPERATORS_GRACE_MS)
-    assert take_absent(fleet, set(), place_of(2, 8), later) == (NORTH,)
+    later = Millis(ms(5) + OPERATOR_REWRITE_GRACE_MS)
+    assert take_absent(fleet, set(), position_of(2, 8), later) == (NORTH,)
 
 
 async def test_peer_that_has_not_heard_of_the_return_does_not_say_what_stands():
@@ -205,7 +205,7 @@
         self.copied: tuple[int, dict[DomainId, int]] = (0, {})
 
     def write(self, domain: DomainId, *, active: bool) -> EvacuationRow:
-        row = EvacuationRow(domain, place_of(self.era, self.end), active=active)
+        row = EvacuationRow(domain, position_of(self.era, self.end), active=active)
         if active:
             self.active[domain] = self.end
         else:
@@ -241,9 +241,9 @@
 
     def read() -> None:
         for domain, offset in store.active.items():
-            place = place_of(store.era, offset)
+            place = position_of(store.era, offset)
             take_evacuation(fleet, EvacuationRow(domain, place, True), Millis(now))
-        end = place_of(store.era, store.end)
+        end = position_of(store.era, store.end)
         take_absent(fleet, set(store.active), end, Millis(now))
 
     for step, name in steps:
@@ -258,7 +258,7 @@
             store.copy()
         elif step == "back":
             store.come_back()
-            take_era(fleet, store.era, Millis(now))
+            record_era(fleet, store.era, Millis(now))
             read()
             for known, active in meant.items():
                 if active and known in fleet.evacuations:
@@ -266,7 +266,7 @@
             for known, active in meant.items():
                 store.write(known, active=active)
         read()
-    now += OPERATORS_GRACE_MS
+    now += OPERATOR_REWRITE_GRACE_MS
     read()
     for domain, active in meant.items():
         assert is_emptied(fleet, domain) is active
--- a/tests/test_proving.py
+++ b/tests/test_proving.py
@@ -20,17 +20,17 @@
 from spanshunt.peers.news import News
 from spanshunt.platform.operator_records import WAIT_PART
 from spanshunt.platform.wire import decode_catalog
-from spanshunt.systems.following_workers import HEARD_MS
-from spanshunt.systems.following_workers import note_store_failure
-from spanshunt.systems.proving import FIRST_PART
-from spanshunt.systems.proving import OWN_PART
-from spanshunt.systems.proving import READER_PART
-from spanshunt.systems.proving import is_first
-from spanshunt.systems.proving import is_proved
+from spanshunt.systems.following_workers import PEER_TIMEOUT_MS
+from spanshunt.systems.following_workers import record_store_failure
+from spanshunt.systems.proving import BOX_FRACTION
+from spanshunt.systems.proving import DOMAIN_FRACTION
+from spanshunt.systems.proving import FLEET_FRACTION
+from spanshunt.systems.proving import is_catalog_proved
+from spanshunt.systems.proving import is_fleet_prober
+from spanshunt.systems.proving import merge_peer_proof
 from spanshunt.systems.proving import must_probe
 from spanshunt.systems.proving import proof_age
-from spanshunt.systems.proving import prove_catalog
-from spanshunt.systems.proving import take_told_proof
+from spanshunt.systems.proving import record_catalog_read
 from spanshunt.tables.fleet import CatalogProof
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
@@ -74,22 +74,22 @@
 
     def test_reading_proves_as_of_its_beginning(self):
         fleet = make_fleet("box-1")
-        prove_catalog(fleet, ms(2), Offset(7))
+        record_catalog_read(fleet, ms(2), Offset(7))
         assert proof_age(fleet, ms(5)) == 3_000
         assert fleet.catalog_proof.source == "box-1"
 
     def test_reading_that_began_earlier_proves_nothing_more(self):
         fleet = make_fleet()
-        prove_catalog(fleet, ms(2), Offset(7))
-        prove_catalog(fleet, ms(1), Offset(6))
+        record_catalog_read(fleet, ms(2), Offset(7))
+        record_catalog_read(fleet, ms(1), Offset(6))
         assert fleet.catalog_proof.end == 7
 
     def test_catalog_is_not_proved_once_a_peer_tells_of_a_newer_one(self):
         fleet = a_fleet(version=7)
-        prove_catalog(fleet, NOW, Offset(7))
-        assert is_proved(fleet, NOW, 1_000)
+        record_catalog_read(fleet, NOW, Offset(7))
+        assert is_catalog_proved(fleet, NOW, 1_000)
         add_peer(fleet, "b-1", "north").catalog_version = 8
-        assert not is_proved(fleet, NOW, 1_000)
+        assert not is_catalog_proved(fleet, NOW, 1_000)
 
 
 class TestWhoLooks:
@@ -99,48 +99,48 @@
         fleet = a_fleet("b-1")
         add_peer(fleet, "b-2", "north")
         add_peer(fleet, "a-1", "south", served=False)
-        assert looks_from(fleet) == pytest.approx(FIRST_PART)
+        assert looks_from(fleet) == pytest.approx(FLEET_FRACTION)
 
     def test_first_box_of_a_domain_looks_later(self):
         fleet = a_fleet("b-2")
         add_peer(fleet, "b-1", "south")
         add_peer(fleet, "b-3", "north")
-        assert looks_from(fleet) == pytest.approx(READER_PART)
+        assert looks_from(fleet) == pytest.approx(DOMAIN_FRACTION)
 
     def test_other_boxes_look_before_the_bound(self):
         fleet = a_fleet("b-2")
         add_peer(fleet, "b-1", "north")
-        assert looks_from(fleet) == pytest.approx(OWN_PART)
+        assert looks_from(fleet) == pytest.approx(BOX_FRACTION)
 
     def test_box_that_hears_nobody_is_the_first(self):
         fleet = a_fleet("b-2")
-        add_peer(fleet, "b-1", "north", heard_ms=HEARD_MS)
-        assert looks_from(fleet) == pytest.approx(FIRST_PART)
+        add_peer(fleet, "b-1", "north", heard_ms=PEER_TIMEOUT_MS)
+        assert looks_from(fleet) == pytest.approx(FLEET_FRACTION)
 
     def test_box_is_not_the_first_while_one_before_it_proves(self):
         """In a large fleet it hears few others, and that one is seldom among them."""
         fleet = a_fleet("b-2")
         told = CatalogProof(Millis(NOW - 900), Offset(7), BoxId("b-1"))
-        take_told_proof(fleet, 7, told)
-        assert not is_first(fleet, NOW, IN_FORCE_MS)
-        assert is_first(fleet, Millis(NOW + 300), IN_FORCE_MS)
+        merge_peer_proof(fleet, 7, told)
+        assert not is_fleet_prober(fleet, NOW, IN_FORCE_MS)
+        assert is_fleet_prober(fleet, Millis(NOW + 300), IN_FORCE_MS)
 
     @pytest.mark.parametrize(("boxes", "domains"), [(6, 3), (60, 3), (120, 12)])
     def test_one_box_proves_for_a_fleet_of_any_size(self, boxes, domains):
         """Three of sixty boxes took themselves for the first, one in each domain."""
         found = play(boxes, domains, IN_FORCE_MS, seconds=10, seed=1, cut=False)
         assert found.calls_per_s <= 1.25 / (WAIT_PART * IN_FORCE_MS / 1_000)
-        assert found.oldest_ms < OWN_PART * IN_FORCE_MS
+        assert found.oldest_ms < BOX_FRACTION * IN_FORCE_MS
 
     @pytest.mark.parametrize(("boxes", "domains"), [(6, 3), (60, 3)])
     def test_each_part_that_is_cut_off_proves_for_itself(self, boxes, domains):
         found = play(boxes, domains, IN_FORCE_MS, seconds=10, seed=1, cut=True)
         assert found.calls_per_s <= 1.25 * domains / (WAIT_PART * IN_FORCE_MS / 1_000)
-        assert found.oldest_ms < OWN_PART * IN_FORCE_MS
+        assert found.oldest_ms < BOX_FRACTION * IN_FORCE_MS
 
     def test_box_that_the_store_does_not_serve_looks_at_the_usual_pace(self):
         fleet = a_fleet("b-2")
-        note_store_failure(fleet, Millis(NOW - 100))
+        record_store_failure(fleet, Millis(NOW - 100))
         assert looks_from(fleet) == float("inf")
 
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -15,7 +15,7 @@
 from spanshunt.ids import RegionId
 from spanshunt.ids import ServiceId
 from spanshunt.platform.wire import decode_catalog
-from spanshunt.systems.admitting import Asked
+from spanshunt.systems.admitting import AdmissionRequest
 from spanshunt.systems.admitting import admit
 from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import choose_worker
@@ -75,7 +75,7 @@
     orgs = [{**CONFIG["Tenants"][0], "AllowedRegions": ["here"]}]
     raw = json.dumps(config(Routes=routes, Tenants=orgs)).encode()
     catalog = decode_catalog(raw).ok_value
-    asked = Asked(routes[0]["Hostname"], "/long/x", orgs[0]["ApiKeys"][0])
+    asked = AdmissionRequest(routes[0]["Hostname"], "/long/x", orgs[0]["ApiKeys"][0])
     assert admit(catalog, asked).ok_value.regions == (
         regions_of("here", "abroad"),
         regions_of("here"),
--- a/tests/test_resting.py
+++ b/tests/test_resting.py
@@ -17,7 +17,7 @@
 from spanshunt.platform.wire import decode_rest
 from spanshunt.standins.worker import WorkerFault
 from spanshunt.systems.following_workers import ListedWorker
-from spanshunt.systems.following_workers import take_list
+from spanshunt.systems.following_workers import apply_worker_list
 from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
@@ -120,7 +120,7 @@
     note_rest(row, Millis(60_000), ms(1))
     again = make_worker("w-1")
     again.born = Millis(20)
-    take_list(fleet, [ListedWorker(again, False)], Offset(1), ms(2))
+    apply_worker_list(fleet, [ListedWorker(again, False)], Offset(1), ms(2))
     assert rest_left_ms(fleet.workers.rows["w-1"], ms(2)) == 0
 
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -29,7 +29,7 @@
 from spanshunt.platform.store import StoreClient
 from spanshunt.standins.store import EndpointFault
 from spanshunt.standins.store import StoreStandin
-from spanshunt.systems.proving import FIRST_PART
+from spanshunt.systems.proving import FLEET_FRACTION
 
 DOMAINS = ("north", "west", "south")
 
@@ -275,4 +275,4 @@
             assert {reply.status for reply in await asyncio.gather(*asks)} == {404}
         took_s = asyncio.get_running_loop().time() - began
         reads = fleet.store.calls[before:].count("/log-read keyed.op")
-    assert reads <= 2 + took_s / (FIRST_PART * IN_FORCE_S)
+    assert reads <= 2 + took_s / (FLEET_FRACTION * IN_FORCE_S)
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -7,7 +7,7 @@
 from spanshunt.ids import BoxId
 from spanshunt.ids import Millis
 from spanshunt.standins.worker import WorkerFault
-from spanshunt.systems.following_workers import must_read
+from spanshunt.systems.following_workers import must_read_list
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
 from spanshunt.waking import Wakes
@@ -54,9 +54,9 @@
     clock = SuspendedClock()
     async with running_fleet(clock=clock) as fleet:
         tables = fleet.boxes[0].node.fleet
-        assert not must_read(_with_a_reader(tables), clock.now(), 2_000)
+        assert not must_read_list(_with_a_reader(tables), clock.now(), 2_000)
         clock.slept_ms = 3_000
-        assert must_read(tables, clock.now(), 2_000)
+        assert must_read_list(tables, clock.now(), 2_000)
 
 
 async def test_request_just_after_waking_waits_for_news():
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -37,8 +37,8 @@
 from spanshunt.systems.ending import note_end
 from spanshunt.systems.ending import note_return
 from spanshunt.systems.following_workers import ListedWorker
+from spanshunt.systems.following_workers import apply_worker_list
 from spanshunt.systems.following_workers import list_digest
-from spanshunt.systems.following_workers import take_list
 from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
@@ -163,17 +163,17 @@
 
 def test_worker_that_is_new_is_cold_until_its_entry_says_otherwise():
     fleet = cold_fleet()
-    take_list(fleet, listed(None), Offset(1), ms(10))
+    apply_worker_list(fleet, listed(None), Offset(1), ms(10))
     assert is_cold(fleet.workers.rows[WorkerId("w-1")], ms(12.9))
     other = cold_fleet()
-    take_list(other, listed(0), Offset(1), ms(10))
+    apply_worker_list(other, listed(0), Offset(1), ms(10))
     assert not is_cold(other.workers.rows[WorkerId("w-1")], ms(10))
 
 
 def test_worker_may_become_cold_again_at_any_moment():
     fleet = cold_fleet()
-    take_list(fleet, listed(0), Offset(1), ms(10))
-    take_list(fleet, listed(1_500), Offset(2), ms(20))
+    apply_worker_list(fleet, listed(0), Offset(1), ms(10))
+    apply_worker_list(fleet, listed(1_500), Offset(2), ms(20))
     row = fleet.workers.rows[WorkerId("w-1")]
     assert is_cold(row, ms(21.4))
     assert not is_cold(row, ms(21.6))
@@ -197,9 +197,9 @@
 
 def test_peers_tell_how_long_a_worker_is_cold():
     fleet, peer = cold_fleet(), cold_fleet("box-2")
-    take_list(fleet, listed(2_000), Offset(1), ms(10))
+    apply_worker_list(fleet, listed(2_000), Offset(1), ms(10))
     told = [told_worker(item) for item in workers_news(fleet, ms(10.5))]
-    take_list(peer, told, Offset(1), ms(50))
+    apply_worker_list(peer, told, Offset(1), ms(50))
     row = peer.workers.rows[WorkerId("w-1")]
     assert is_cold(row, ms(51.4))
     assert not is_cold(row, ms(51.6))
@@ -232,10 +232,10 @@
     }
     decoded = decode_worker("w-1", json.dumps(entry).encode()).ok_value
     assert decoded.cold_ms is None
-    assert "ColdRemainingMs" in decoded.flaw
-    assert repr(found) in decoded.flaw
+    assert "ColdRemainingMs" in decoded.problem
+    assert repr(found) in decoded.problem
     fleet = cold_fleet()
-    take_list(fleet, [decoded], Offset(1), ms(10))
+    apply_worker_list(fleet, [decoded], Offset(1), ms(10))
     assert is_cold(fleet.workers.rows[WorkerId("w-1")], ms(12.9))
 
 
--- a/tests/test_worker_entries.py
+++ b/tests/test_worker_entries.py
@@ -20,8 +20,8 @@
 from spanshunt.systems.ending import note_end
 from spanshunt.systems.ending import note_return
 from spanshunt.systems.following_workers import ListedWorker
-from spanshunt.systems.following_workers import note_replaced
-from spanshunt.systems.following_workers import take_list
+from spanshunt.systems.following_workers import apply_worker_list
+from spanshunt.systems.following_workers import mark_replaced
 from spanshunt.systems.silence import Silence
 from spanshunt.systems.silence import is_silent
 from spanshunt.systems.silence import note_silence
@@ -108,14 +108,16 @@
 
 def test_worker_back_under_its_id_has_nothing_of_its_former_life():
     fleet = make_fleet()
-    take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
     former = fleet.workers.rows[WorkerId("w-1")]
     former.inflight = 3
     note_load(former, Load(7, 2, 8), ms(1))
     for _ in range(4):
         note_answer(former, 0.0, good=False, now=ms(2))
-    note_replaced(fleet, former)
-    change = take_list(fleet, [ListedWorker(_life(2_000), False)], Offset(2), ms(3))
+    mark_replaced(fleet, former)
+    change = apply_worker_list(
+        fleet, [ListedWorker(_life(2_000), False)], Offset(2), ms(3)
+    )
     row = fleet.workers.rows[WorkerId("w-1")]
     assert change.came == ("w-1",)
     assert row.inflight == row.reported == row.failures == 0
@@ -127,25 +129,25 @@
 
 def test_same_life_told_again_changes_nothing():
     fleet = make_fleet()
-    take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
     fleet.workers.rows[WorkerId("w-1")].inflight = 2
-    take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(2), ms(2))
-    take_list(fleet, [ListedWorker(_life(0), False)], Offset(3), ms(3))
+    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(2), ms(2))
+    apply_worker_list(fleet, [ListedWorker(_life(0), False)], Offset(3), ms(3))
     row = fleet.workers.rows[WorkerId("w-1")]
     assert row.inflight == 2 and row.born == 1_000
 
 
 def test_peers_tell_which_life_it_is():
     fleet, peer = make_fleet(), make_fleet("box-2")
-    take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
     told = [told_worker(item) for item in workers_news(fleet, ms(1))]
-    take_list(peer, told, Offset(1), ms(1))
+    apply_worker_list(peer, told, Offset(1), ms(1))
     assert peer.workers.rows[WorkerId("w-1")].incarnation == "w-1/1000"
 
 
 def test_what_was_believed_of_a_worker_ends_with_it():
     fleet = make_fleet()
-    take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
     row = fleet.workers.rows[WorkerId("w-1")]
     note_load(row, Load(7, 2, 8), ms(1))
     row.kept.parts["large/p1"] = 500
@@ -157,7 +159,8 @@
 def _ended(fleet: Fleet, *rows: WorkerRow, end: int = 2) -> list[str]:
     listed = [ListedWorker(row, False) for row in rows]
     return [
-        row.incarnation for row in take_list(fleet, listed, Offset(end), ms(end)).ended
+        row.incarnation
+        for row in apply_worker_list(fleet, listed, Offset(end), ms(end)).ended
     ]
 
 
@@ -176,7 +179,7 @@
     fleet = make_fleet()
     _ended(fleet, make_worker("w-2"), end=1)
     leaving = ListedWorker(make_worker("w-2"), draining=True)
-    take_list(fleet, [leaving], Offset(2), ms(2))
+    apply_worker_list(fleet, [leaving], Offset(2), ms(2))
     other = make_worker("w-3")
     other.address = "w-2:80"
     assert _ended(fleet, other, end=3) == []
@@ -184,7 +187,7 @@
 
 def test_worker_that_ends_twice_before_its_entry_tells_has_two_lives():
     fleet = make_fleet()
-    take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
     row = fleet.workers.rows[WorkerId("w-1")]
     first = row.incarnation
     note_end(fleet, row, ms(2))
@@ -196,8 +199,8 @@
 
 def test_silence_of_a_former_life_does_not_count():
     fleet = make_fleet()
-    take_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
-    take_list(fleet, [ListedWorker(_life(2_000), False)], Offset(2), ms(3))
+    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(fleet, [ListedWorker(_life(2_000), False)], Offset(2), ms(3))
     for box in ("box-2", "box-3"):
         note_silence(fleet, Silence(WorkerId("w-1"), BoxId(box), ms(2.5)), ms(3.1))
     assert not is_silent(fleet, WorkerId("w-1"), ms(3.2))
