--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -25,7 +25,7 @@
 from spanshunt.records import StepVerdict
 from spanshunt.records import encode_record
 from spanshunt.systems.fold import fold_record
-from spanshunt.systems.guarding import judge
+from spanshunt.systems.guarding import due_step
 from spanshunt.systems.learning import record_counts
 from spanshunt.tables.config import Config
 from spanshunt.tables.config import GuardRails
@@ -181,7 +181,7 @@
 
     def _judge_guarded(self, at: float) -> None:
         row = self.config.rollouts[ROLLOUT]
-        step = judge(self.config, row, self.evidence, BoxId("b"), _wall(at))
+        step = due_step(self.config, row, self.evidence, BoxId("b"), _wall(at))
         if step is None:
             return
         if step.verdict is StepVerdict.PULL_BACK:
--- a/src/spanshunt/attempt_outcomes.py
+++ b/src/spanshunt/attempt_outcomes.py
@@ -27,7 +27,7 @@
 from .systems.tallies import IN_TIME
 from .systems.tallies import SILENT
 from .systems.tallies import SLOW
-from .systems.tallies import count_answer
+from .systems.tallies import record_observation
 from .systems.timing import is_slow
 from .systems.timing import note_first_time
 from .systems.warming import note_started
@@ -250,7 +250,7 @@
     core: Core, state: CatalogRequest, attempt: CatalogAttempt, seen: Tally
 ) -> None:
     """Count what was seen of an attempt for or against its version."""
-    count_answer(
+    record_observation(
         core.fleet,
         attempt.service,
         state.admitted.route.name,
--- a/src/spanshunt/duties.py
+++ b/src/spanshunt/duties.py
@@ -21,7 +21,7 @@
 from .systems.following import is_snapshot_due
 from .systems.freshness import is_fresh
 from .systems.gossip import duty_rank
-from .systems.guarding import judge_all
+from .systems.guarding import due_steps
 from .tables.state import SuspendedRow
 
 TURN_MS = 2_000
@@ -59,7 +59,7 @@
         """
         state = self._state
         due: set[str] = set()
-        for step in judge_all(
+        for step in due_steps(
             state.config,
             state.evidence,
             state.suspended,
--- a/src/spanshunt/platform/recorder.py
+++ b/src/spanshunt/platform/recorder.py
@@ -22,10 +22,10 @@
 from ..systems.judging import judge
 from ..systems.judging import postpone_suspected
 from ..systems.judging import record_delay
-from ..systems.judging import suspicion_to_record
-from ..systems.judging import verdict_to_record
+from ..systems.judging import update_suspicion
+from ..systems.judging import update_verdict
 from ..systems.ramping import apply_verdict
-from ..systems.succeeding import hears_majority
+from ..systems.succeeding import hears_enough_peers
 from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Verdict
@@ -69,7 +69,7 @@
             if row.verdict is Verdict.RUNNING:
                 self._adapt_steps(row, now)
             before, was_bad = row.verdict, bool(row.turned_bad_reason)
-            due = verdict_to_record(self._fleet, row, now)
+            due = update_verdict(self._fleet, row, now)
             if row.verdict is not before:
                 log_verdict(row, "own evidence")
             if row.turned_bad_reason and not was_bad:
@@ -115,7 +115,7 @@
 
     async def _record_suspicion(self, row: RolloutRow) -> None:
         """Record how far answers speak against a version, for boxes that start."""
-        against = suspicion_to_record(self._fleet, row, self._clock.now())
+        against = update_suspicion(self._fleet, row, self._clock.now())
         if against is None:
             return
         row.suspected_at = Millis(-1)
@@ -133,7 +133,7 @@
     async def _look(self, row: RolloutRow) -> None:
         """Read what others recorded, where they can't tell: this box is cut off."""
         now = self._clock.now()
-        if hears_majority(self._fleet, row, now) or now < self._looked_at + LOOK_MS:
+        if hears_enough_peers(self._fleet, row, now) or now < self._looked_at + LOOK_MS:
             return
         self._looked_at = now
         listing = await self._store.newest(wire.STATUS_TOPIC)
--- a/src/spanshunt/systems/blaming.py
+++ b/src/spanshunt/systems/blaming.py
@@ -11,7 +11,7 @@
 from ..tables.rollouts import RecordedSuspicion
 from ..tables.rollouts import RolloutRow
 from ..tables.rollouts import Tallies
-from .exposing import full_from_ms
+from .exposing import full_phase_start_ms
 from .references import Reference
 from .references import build_reference
 from .sequential import log_change_above_each
@@ -24,7 +24,7 @@
 """Natural log of the change statistic at which a version is bad. A good version reaches
 it about once in 150 epochs, for each series tested."""
 
-HOLD_PART = 0.4
+SUSPECTED_PART = 0.4
 """Part of the threshold from which on a version neither gets all requests nor succeeds
 until more answers decide. Beside failing engines of the leaving version, evidence below
 the threshold is often that of a bad version."""
@@ -71,9 +71,9 @@
         return self.log_evidence >= EVIDENCE_THRESHOLD
 
     @property
-    def blocks_success(self) -> bool:
+    def is_strong(self) -> bool:
         """Whether the version must not advance."""
-        return self.log_evidence >= HOLD_PART * EVIDENCE_THRESHOLD
+        return self.log_evidence >= SUSPECTED_PART * EVIDENCE_THRESHOLD
 
     @property
     def reason(self) -> str:
@@ -157,7 +157,7 @@
 def current_suspicion(fleet: Fleet, row: RolloutRow) -> Suspicion:
     """Return the strongest suspicion against the version of an order."""
     return strongest_suspicion(
-        pooled_tallies(row), full_from_ms(fleet, row), row.recorded_suspicion
+        pooled_tallies(row), full_phase_start_ms(fleet, row), row.recorded_suspicion
     )
 
 
--- a/src/spanshunt/systems/exposing.py
+++ b/src/spanshunt/systems/exposing.py
@@ -26,7 +26,7 @@
 on, so no session may enter before all boxes agree that the first half is over. The
 margin covers boxes that see an order some tenths of a second apart."""
 
-FULL_PHASE_PART, FULL_PHASE_MAX_MS = 0.48, 3_000
+FULL_PHASE_EXPOSURE_PART, FULL_PHASE_MAX_MS = 0.48, 3_000
 """Part of the exposure that is reserved for the full phase, at the end, in which the
 version gets all requests, and the longest full phase in ms. A version that is bad only
 under this load, or that turns bad late, shows it then; a longer order does not need a
@@ -63,7 +63,7 @@
 RATE_WINDOW_S = 6
 """Number of latest whole seconds over which the request rate is measured."""
 
-MAX_EXTRA = 0.08
+MAX_EXTRA_SHARE = 0.08
 """Most that the allowed number of requests adds to the share. It limits the harm of a
 request rate that is estimated too low."""
 
@@ -90,7 +90,7 @@
 
 def full_phase_part(bounds: ExposureBounds, duration_ms: int) -> float:
     """Return the length of the full phase, as a part of the order's time."""
-    part = FULL_PHASE_PART * USED_SHARE_PART * bounds.share
+    part = FULL_PHASE_EXPOSURE_PART * USED_SHARE_PART * bounds.share
     return min(part, FULL_PHASE_MAX_MS / max(1, duration_ms))
 
 
@@ -126,7 +126,7 @@
     return compute_steps(fleet.rollouts.bounds, row.extra, row.duration_ms)
 
 
-def full_from_ms(fleet: Fleet, row: RolloutRow) -> int:
+def full_phase_start_ms(fleet: Fleet, row: RolloutRow) -> int:
     """Return the age of an order from which on all requests enter, in ms.
 
     The age is greater than planned, up to the whole time of the order, if the full
@@ -152,7 +152,7 @@
         return 0.0
     steps = order_steps(fleet, row)
     age = (now - row.began) / max(1, row.duration_ms)
-    if now >= row.began + full_from_ms(fleet, row):
+    if now >= row.began + full_phase_start_ms(fleet, row):
         return 1.0
     if in_session:
         return steps.sessions if age >= SESSIONS_FROM else 0.0
@@ -208,7 +208,7 @@
     if not RATE_FROM <= age < RATE_UNTIL or rate <= 0.0:
         return
     requests = rate * row.duration_ms / 1_000
-    extra = min(MAX_EXTRA, extra_share(fleet.rollouts.bounds, requests))
+    extra = min(MAX_EXTRA_SHARE, extra_share(fleet.rollouts.bounds, requests))
     row.extra = max(row.extra, extra)
 
 
--- a/src/spanshunt/systems/guarding.py
+++ b/src/spanshunt/systems/guarding.py
@@ -34,7 +34,7 @@
 """Number of signals that are tested: ratings, errors and late first tokens. The error
 rate is split among them."""
 
-LATE_RUN_LENGTH = 144_000
+MEAN_EPOCHS_TO_FALSE_ALARM = 144_000
 """Mean epochs between two false alarms of one test after a roll-out: 100 days."""
 
 HOLD_PART = 0.5
@@ -62,7 +62,7 @@
     matches: t.Callable[[Cell], bool]
 
 
-class Suspicion(msgspec.Struct, frozen=True):
+class StrongestEvidence(msgspec.Struct, frozen=True):
     """The strongest evidence against a version.
 
     Attributes
@@ -80,10 +80,10 @@
     reason: str
 
 
-NO_SUSPICION = Suspicion(-math.inf, 0.0, "no evidence")
+NO_EVIDENCE = StrongestEvidence(-math.inf, 0.0, "no evidence")
 
 
-def judge_all(
+def due_steps(
     config: Config,
     evidence: Evidence,
     suspended: t.Mapping[VersionId, SuspendedRow],
@@ -101,7 +101,7 @@
         if suspended_row is not None and suspended_row.rollout == row.name:
             step = _pull_back_step(config, row, suspended_row.reason, box, wall)
         else:
-            step = judge(config, row, evidence, box, wall)
+            step = due_step(config, row, evidence, box, wall)
         if step is not None:
             steps.append(step)
     return steps
@@ -111,44 +111,46 @@
     config: Config, row: RolloutRow, reason: str, box: BoxId, wall: Millis
 ) -> RolloutStep | None:
     """Return the pull-back of a suspended version; None once it is recorded."""
-    if _is_over(config, row):
+    if _is_withdrawn(config, row):
         return None
     return _step(row, StepVerdict.PULL_BACK, reason, box, wall)
 
 
-def _is_over(config: Config, row: RolloutRow) -> bool:
+def _is_withdrawn(config: Config, row: RolloutRow) -> bool:
     """Return whether a roll-out makes no more steps: its version is out of service."""
     version = config.versions.get(row.version)
     withdrawn = version is None or version.state is VersionState.WITHDRAWN
     return withdrawn or row.state is RolloutState.PULLED_BACK
 
 
-def judge(
+def due_step(
     config: Config, row: RolloutRow, evidence: Evidence, box: BoxId, wall: Millis
 ) -> RolloutStep | None:
     """Return the step that is due for one roll-out; None to hold."""
-    if _is_over(config, row):
+    if _is_withdrawn(config, row):
         return None
     epochs = counts_by_epoch(evidence, row.version)
     if row.state is RolloutState.DONE:
-        suspicion = late_suspicion(row.guards, epochs)
-        if suspicion.log_evidence >= 0:
-            return _step(row, StepVerdict.PULL_BACK, suspicion.reason, box, wall)
+        strongest = strongest_change_evidence(row.guards, epochs)
+        if strongest.log_evidence >= 0:
+            return _step(row, StepVerdict.PULL_BACK, strongest.reason, box, wall)
         return None
     totals = _sum_epochs(epochs)
-    suspicion = rollout_suspicion(row.guards, totals)
-    if suspicion.log_evidence >= 0:
-        return _step(row, StepVerdict.PULL_BACK, suspicion.reason, box, wall)
-    if suspicion.part < HOLD_PART and _is_stage_over(row, totals, wall):
+    strongest = strongest_rollout_evidence(row.guards, totals)
+    if strongest.log_evidence >= 0:
+        return _step(row, StepVerdict.PULL_BACK, strongest.reason, box, wall)
+    if strongest.part < HOLD_PART and _is_stage_over(row, totals, wall):
         rated = sum(counts.rated for counts in totals.values())
         reason = f"{rated} ratings and nothing against it"
         return _step(row, StepVerdict.ADVANCE, reason, box, wall)
     return None
 
 
-def rollout_suspicion(guards: GuardRails, totals: dict[Cell, Counts]) -> Suspicion:
+def strongest_rollout_evidence(
+    guards: GuardRails, totals: dict[Cell, Counts]
+) -> StrongestEvidence:
     """Return the strongest evidence against an entering version."""
-    found = NO_SUSPICION
+    found = NO_EVIDENCE
     for scope in _scopes(guards, totals):
         counts = _sum_scope(totals, scope)
         threshold = math.log(SIGNAL_COUNT / (guards.alpha * scope.share))
@@ -165,16 +167,16 @@
     return found
 
 
-def late_suspicion(
+def strongest_change_evidence(
     guards: GuardRails, epochs: dict[int, dict[Cell, Counts]]
-) -> Suspicion:
+) -> StrongestEvidence:
     """Return the strongest evidence that a version turned bad in full service."""
-    found = NO_SUSPICION
+    found = NO_EVIDENCE
     totals = _sum_epochs(epochs)
     for scope in _scopes(guards, totals):
         series = [_sum_scope(cells, scope) for cells in epochs.values()]
         counts = _sum_scope(totals, scope)
-        threshold = math.log(LATE_RUN_LENGTH / scope.share)
+        threshold = math.log(MEAN_EPOCHS_TO_FALSE_ALARM / scope.share)
         rated = [(item.rated, item.good) for item in series]
         errors = [(item.runs, item.errors) for item in series]
         slow = [(item.runs, item.slow) for item in series]
@@ -265,12 +267,12 @@
 
 
 def _stronger(
-    found: Suspicion, log_evidence: float, threshold: float, reason: str
-) -> Suspicion:
+    found: StrongestEvidence, log_evidence: float, threshold: float, reason: str
+) -> StrongestEvidence:
     margin = log_evidence - threshold
     if margin <= found.log_evidence:
         return found
-    return Suspicion(margin, max(0.0, log_evidence / threshold), reason)
+    return StrongestEvidence(margin, max(0.0, log_evidence / threshold), reason)
 
 
 def _quality_reason(scope: Scope, counts: Counts) -> str:
--- a/src/spanshunt/systems/judging.py
+++ b/src/spanshunt/systems/judging.py
@@ -13,7 +13,7 @@
 from .blaming import live_peers
 from .exposing import POSTPONE_FROM_MS
 from .exposing import POSTPONE_UNTIL_MS
-from .exposing import full_from_ms
+from .exposing import full_phase_start_ms
 from .ramping import apply_verdict
 from .succeeding import may_succeed
 from .tallies import count_answers
@@ -49,11 +49,11 @@
 
 def postpone_suspected(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
     """Postpone the full phase if the version is suspected; return whether it did so."""
-    full_ms = full_from_ms(fleet, row)
+    full_ms = full_phase_start_ms(fleet, row)
     left_ms = full_ms - (now - row.began)
     if not POSTPONE_UNTIL_MS <= left_ms < POSTPONE_FROM_MS:
         return False
-    if not current_suspicion(fleet, row).blocks_success:
+    if not current_suspicion(fleet, row).is_strong:
         return False
     row.full_from_ms = full_ms + SUSPECTED_DELAY_MS
     return True
@@ -64,7 +64,7 @@
 natural logs. Up to the verdict this allows three records at most, at two calls each."""
 
 
-def suspicion_to_record(
+def update_suspicion(
     fleet: Fleet, row: RolloutRow, now: Millis
 ) -> RecordedSuspicion | None:
     """Return the suspicion that this box must record now, if any.
@@ -80,7 +80,7 @@
         if row.recorded_suspicion is not None
         else -math.inf
     )
-    if not found.blocks_success or found.log_evidence < known + MIN_RECORD_INCREASE:
+    if not found.is_strong or found.log_evidence < known + MIN_RECORD_INCREASE:
         row.suspected_at = Millis(-1)
         return None
     if row.suspected_at < 0:
@@ -106,13 +106,13 @@
     return Millis(before * RECORD_STAGGER_MS)
 
 
-def verdict_to_record(fleet: Fleet, row: RolloutRow, now: Millis) -> Judgement | None:
+def update_verdict(fleet: Fleet, row: RolloutRow, now: Millis) -> Judgement | None:
     """Return the verdict that this box must record now, if any.
 
     A version judged bad is rolled back on this box at once, recorded or not. Also
     checks whether a version turned bad after its success.
     """
-    due_at, judgement = _due_verdict(fleet, row, now)
+    due_at, judgement = _update_due_verdict(fleet, row, now)
     if judgement.verdict is Verdict.RUNNING:
         return None
     # A restored store may lack the verdict: it is due again, with the same delays.
@@ -122,7 +122,7 @@
     return judgement
 
 
-def _due_verdict(
+def _update_due_verdict(
     fleet: Fleet, row: RolloutRow, now: Millis
 ) -> tuple[Millis, Judgement]:
     """Return the verdict to record and since when it is due; running for none."""
--- a/src/spanshunt/systems/ramping.py
+++ b/src/spanshunt/systems/ramping.py
@@ -23,7 +23,7 @@
 from .eras import is_same_offset
 from .eras import offset_of
 from .exposing import entering_share
-from .tallies import is_version_suspected
+from .tallies import has_excess_faults
 from .watching import can_fall_back
 
 
@@ -31,12 +31,12 @@
     """Why a request is answered by a version."""
 
     NO_ORDER = "no order"
-    JUDGED = "judged"
+    HAS_VERDICT = "judged"
     TURNED_BAD = "turned bad after its success"
     FAILED_ON_ENTERING = "failed on the entering version"
     SESSIONS_NOT_YET = "sessions stay for now"
-    IN_SHARE = "drawn"
-    NOT_IN_SHARE = "not drawn"
+    SELECTED = "drawn"
+    NOT_SELECTED = "not drawn"
     NO_WORKERS = "drawn, but no worker is known"
 
 
@@ -110,22 +110,22 @@
     if row.verdict is Verdict.SUCCEEDED:
         if can_fall_back(fleet, row, now):
             return leaving._replace(reason=Reason.TURNED_BAD)
-        return entering._replace(reason=Reason.JUDGED)
+        return entering._replace(reason=Reason.HAS_VERDICT)
     if row.verdict is Verdict.ROLLED_BACK:
-        return leaving._replace(reason=Reason.JUDGED)
+        return leaving._replace(reason=Reason.HAS_VERDICT)
     if row.version in failed and not (
         session
-        and not is_version_suspected(row, route)
+        and not has_excess_faults(row, route)
         and _has_workers(fleet, service, row.version, tried)
     ):
         return leaving._replace(reason=Reason.FAILED_ON_ENTERING)
     if session and share <= 0.0:
         return leaving._replace(reason=Reason.SESSIONS_NOT_YET)
     if unit_hash(str(row.order), session or request_id) >= share:
-        return leaving._replace(reason=Reason.NOT_IN_SHARE)
+        return leaving._replace(reason=Reason.NOT_SELECTED)
     if not _has_workers(fleet, service, row.version):
         return leaving._replace(reason=Reason.NO_WORKERS)
-    return entering._replace(reason=Reason.IN_SHARE)
+    return entering._replace(reason=Reason.SELECTED)
 
 
 def apply_order(
--- a/src/spanshunt/systems/references.py
+++ b/src/spanshunt/systems/references.py
@@ -13,7 +13,7 @@
 from ..tables.rollouts import Finding
 from ..tables.rollouts import Tallies
 from ..tables.rollouts import Tally
-from .tallies import FAULT_FLOORS
+from .tallies import MIN_CEILINGS
 from .tallies import trials_by_epoch
 
 CEILING_MARGIN = 0.15
@@ -33,7 +33,10 @@
 """Answers up to which older epochs are added to a window. When all requests enter, the
 last answers of the leaving version show the effect of their load."""
 
-FULL_PHASE_FLOORS = {Finding.FAILED: FAULT_FLOORS[Finding.FAILED], Finding.SLOW: 0.6}
+FULL_PHASE_MIN_CEILINGS = {
+    Finding.FAILED: MIN_CEILINGS[Finding.FAILED],
+    Finding.SLOW: 0.6,
+}
 """Shares of faulty answers below which no version is bad in the full phase. Its engines
 then read prompts that they have nothing cached of, and write in between."""
 
@@ -82,9 +85,11 @@
 
     def ceiling_at(self, epoch: int) -> float:
         """Return the greatest share of faults that is still good in an epoch."""
-        floors = FULL_PHASE_FLOORS if epoch >= self.full_epoch else FAULT_FLOORS
+        min_ceilings = (
+            FULL_PHASE_MIN_CEILINGS if epoch >= self.full_epoch else MIN_CEILINGS
+        )
         usual = self.usual_at(epoch)
-        ceiling = max(floors[self.finding], usual + min(usual, CEILING_MARGIN))
+        ceiling = max(min_ceilings[self.finding], usual + min(usual, CEILING_MARGIN))
         return min(MAX_CEILINGS[self.finding], ceiling)
 
 
@@ -112,11 +117,11 @@
     known = [tally for tally in leaving if tally.trials(finding) >= MIN_WORKER_ANSWERS]
     if not faults or not known:
         return 1.0
-    healthiest = min(_max_share(tally, finding) for tally in known)
+    healthiest = min(_share_upper_bound(tally, finding) for tally in known)
     return min(1.0, healthiest * trials / faults)
 
 
-def _max_share(tally: Tally, finding: Finding) -> float:
+def _share_upper_bound(tally: Tally, finding: Finding) -> float:
     """Return a worker's greatest plausible share of faults: one deviation above."""
     faults = tally.faults(finding) + 1
     return min(1.0, (faults + math.sqrt(faults)) / tally.trials(finding))
--- a/src/spanshunt/systems/succeeding.py
+++ b/src/spanshunt/systems/succeeding.py
@@ -12,15 +12,15 @@
 from ..tables.rollouts import Tallies
 from .blaming import Suspicion
 from .blaming import live_peers
-from .exposing import full_from_ms
 from .exposing import full_phase_part
+from .exposing import full_phase_start_ms
 from .tallies import count_answers
 
-SUCCESS_PART, LATE_SUCCESS_PART = 0.27, 0.55
+SUCCESS_PART, FEW_ANSWERS_SUCCESS_PART = 0.27, 0.55
 """Parts of the full phase after which a good version may succeed, the second one if few
 answers are known."""
 
-SUCCESS_LEFT_MS, LATE_SUCCESS_LEFT_MS = 1_200, 600
+SUCCESS_LEFT_MS, FEW_ANSWERS_SUCCESS_LEFT_MS = 1_200, 600
 """And how long before the end of the order's time it may succeed at the earliest, in
 ms. The later it does, the fewer faults are missed. The remaining time suffices to
 record a verdict, even by a second box or at a slow store."""
@@ -56,20 +56,20 @@
     fleet: Fleet, row: RolloutRow, tallies: Tallies, suspicion: Suspicion, now: Millis
 ) -> bool:
     """Return whether a version that is not known to be bad has succeeded by now."""
-    if suspicion.blocks_success:
+    if suspicion.is_strong:
         return False
     answers = count_answers(tallies, entering=True)
     age = now - row.began
     if age < (
         earliest_success_ms(fleet, row)
         if answers >= SUFFICIENT_ANSWERS
-        else late_success_ms(fleet, row)
+        else few_answers_success_ms(fleet, row)
     ):
         return False
     is_supported = _has_enough_answers(row, tallies, now) or _is_idle(
         fleet, row, tallies
     )
-    return is_supported and hears_majority(fleet, row, now)
+    return is_supported and hears_enough_peers(fleet, row, now)
 
 
 def earliest_success_ms(fleet: Fleet, row: RolloutRow) -> int:
@@ -77,12 +77,14 @@
     return _success_age_ms(fleet, row, SUCCESS_PART, SUCCESS_LEFT_MS)
 
 
-def late_success_ms(fleet: Fleet, row: RolloutRow) -> int:
+def few_answers_success_ms(fleet: Fleet, row: RolloutRow) -> int:
     """Return the age from which on an order may succeed with few answers, in ms."""
-    return _success_age_ms(fleet, row, LATE_SUCCESS_PART, LATE_SUCCESS_LEFT_MS)
+    return _success_age_ms(
+        fleet, row, FEW_ANSWERS_SUCCESS_PART, FEW_ANSWERS_SUCCESS_LEFT_MS
+    )
 
 
-def hears_majority(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
+def hears_enough_peers(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
     """Return whether this box hears most of the boxes that may know more than it does.
 
     In a large fleet a box talks to only a few boxes, which pass on the reports of
@@ -107,7 +109,7 @@
 
 
 def _success_age_ms(fleet: Fleet, row: RolloutRow, part: float, left_ms: int) -> int:
-    full_from = full_from_ms(fleet, row)
+    full_from = full_phase_start_ms(fleet, row)
     full_ms = row.duration_ms - full_from
     if full_ms <= 0:
         full_ms = int(
@@ -130,5 +132,5 @@
 
 def _is_idle(fleet: Fleet, row: RolloutRow, tallies: Tallies) -> bool:
     """Return whether the service gets no requests, so no fault can show or do harm."""
-    since = max(0, full_from_ms(fleet, row) - IDLE_MS) // EPOCH_MS
+    since = max(0, full_phase_start_ms(fleet, row) - IDLE_MS) // EPOCH_MS
     return not any(key.epoch >= since for key in tallies.routes)
--- a/src/spanshunt/systems/tallies.py
+++ b/src/spanshunt/systems/tallies.py
@@ -14,7 +14,7 @@
 from ..tables.workers import WorkerRow
 from ..utils import unit_hash
 
-FAULT_FLOORS = {Finding.FAILED: 0.1, Finding.SLOW: 0.25}
+MIN_CEILINGS = {Finding.FAILED: 0.1, Finding.SLOW: 0.25}
 """Shares of faulty answers below which no version is bad. Single answers fail on
 healthy workers as well, when a worker or a link breaks. A good version is slow at
 first, while its engines have no prompts cached: one in ten answers, on a day without
@@ -42,7 +42,7 @@
 """A worker that gave no answer in time."""
 
 
-def count_answer(
+def record_observation(
     fleet: Fleet,
     service: ServiceId,
     route: str,
@@ -125,7 +125,7 @@
     return epochs
 
 
-def is_version_suspected(row: RolloutRow, route: str) -> bool:
+def has_excess_faults(row: RolloutRow, route: str) -> bool:
     """Return whether answers speak against the entering version, on a route or overall.
 
     This needs less evidence than a verdict. An error moves a session whose answer
@@ -133,12 +133,12 @@
     """
     routes = pooled_tallies(row).routes
     entering = [(key, tally) for key, tally in routes.items() if key.entering]
-    for finding, floor in FAULT_FLOORS.items():
+    for finding, ceiling in MIN_CEILINGS.items():
         everywhere = [tally for _, tally in entering]
         on_route = [tally for key, tally in entering if key.route == route]
         if sum(tally.faults(finding) for tally in everywhere) < MIN_FAULTS:
             continue
-        if max(_share(everywhere, finding), _share(on_route, finding)) > floor:
+        if max(_share(everywhere, finding), _share(on_route, finding)) > ceiling:
             return True
     return False
 
--- a/src/spanshunt/systems/watching.py
+++ b/src/spanshunt/systems/watching.py
@@ -24,7 +24,7 @@
 KEPT_EPOCHS = 60
 """Number of epochs kept after a success, which bounds the cost of each check."""
 
-LATE_EVIDENCE_THRESHOLD = 9.0
+TURNED_BAD_THRESHOLD = 9.0
 """Natural log of the change statistic at which a version has turned bad. The checks go
 on without end, and a good version reaches it about once in 8,000 epochs of a series."""
 
@@ -45,12 +45,12 @@
     if now < row.turned_bad_checked_at + CHECK_PERIOD_MS:
         return
     row.turned_bad_checked_at = now
-    suspicion = late_suspicion(pooled_tallies(row))
-    if suspicion.log_evidence >= LATE_EVIDENCE_THRESHOLD:
+    suspicion = turned_bad_suspicion(pooled_tallies(row))
+    if suspicion.log_evidence >= TURNED_BAD_THRESHOLD:
         row.turned_bad_reason = suspicion.reason
 
 
-def late_suspicion(tallies: Tallies) -> Suspicion:
+def turned_bad_suspicion(tallies: Tallies) -> Suspicion:
     """Return the strongest suspicion of failures after a success, on any route.
 
     There is no leaving version to compare with, so only failures count, against
--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -28,7 +28,7 @@
 from spanshunt.standins.store import StoreStandin
 from spanshunt.standins.worker import WorkerStandin
 from spanshunt.systems.estimating import Prompt
-from spanshunt.systems.tallies import count_answer
+from spanshunt.systems.tallies import record_observation
 from spanshunt.tables.catalog import ServiceRow
 from spanshunt.tables.engines import PrefillSpeed
 from spanshunt.tables.engines import PromptPart
@@ -178,7 +178,7 @@
     worker = make_worker(f"of-{version}", service=service, version=version)
     failed, slow = finding is Finding.FAILED, finding is Finding.SLOW
     seen = Tally(answers=1, failed=failed, timed=1, slow=slow)
-    count_answer(fleet, service, route, worker, now, seen)
+    record_observation(fleet, service, route, worker, now, seen)
 
 
 def ms(seconds: float) -> Millis:
--- a/tests/test_bad_versions.py
+++ b/tests/test_bad_versions.py
@@ -28,7 +28,7 @@
 from spanshunt.ids import Offset
 from spanshunt.ids import ServiceId
 from spanshunt.ids import VersionId
-from spanshunt.systems.judging import verdict_to_record
+from spanshunt.systems.judging import update_verdict
 from spanshunt.systems.ramping import apply_order
 from spanshunt.systems.ramping import apply_verdict
 from spanshunt.systems.ramping import version_rule_for
@@ -71,7 +71,7 @@
         fleet.peers[name] = PeerRow(name, "host:1", heard=ms(2))
     for at in range(10):
         note_result(fleet, SERVICE, "r", {OLD}, ms(23 + at / 20), None)
-    assert verdict_to_record(fleet, row, ms(23.9)) is None
+    assert update_verdict(fleet, row, ms(23.9)) is None
 
 
 def test_version_that_turns_bad_after_its_success_is_rolled_back_if_possible():
@@ -83,7 +83,7 @@
         found = Finding.FAILED if number % 2 else None
         note_result(fleet, SERVICE, "r", {NEW}, at, found)
         fleet.workers.rows["old"].listed_at = at
-    due = verdict_to_record(fleet, row, ms(34))
+    due = update_verdict(fleet, row, ms(34))
     assert due is not None and due.verdict is Verdict.ROLLED_BACK
     assert version_rule_for(fleet, SERVICE, "s", "r", ms(34)).admits({OLD})
     assert not version_rule_for(fleet, SERVICE, "s", "r", ms(34)).admits({NEW})
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -34,8 +34,8 @@
 from spanshunt.systems.tallies import IN_TIME
 from spanshunt.systems.tallies import SAMPLED_WORKERS
 from spanshunt.systems.tallies import SLOW
-from spanshunt.systems.tallies import count_answer
 from spanshunt.systems.tallies import pooled_tallies
+from spanshunt.systems.tallies import record_observation
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
 from spanshunt.tables.rollouts import Finding
@@ -67,7 +67,7 @@
     fleet: Fleet, worker: str, at: float, observed: Tally, route: str = "r"
 ) -> None:
     row = fleet.workers.rows[worker]
-    count_answer(fleet, SERVICE, route, row, ms(at), observed)
+    record_observation(fleet, SERVICE, route, row, ms(at), observed)
 
 
 def add_answers(
--- a/tests/test_guarding.py
+++ b/tests/test_guarding.py
@@ -7,7 +7,7 @@
 from builders import confirm_of
 from builders import put
 from spanshunt.records import StepVerdict
-from spanshunt.systems.guarding import judge
+from spanshunt.systems.guarding import due_step
 from spanshunt.systems.learning import record_counts
 from spanshunt.systems.limiting import OverLimit
 from spanshunt.systems.limiting import admit
@@ -63,7 +63,7 @@
         record_counts(evidence, "box", 0, cell, Counts(**counts))
 
     def verdict(self, config, row, evidence, at: int = 100_000):
-        step = judge(config, row, evidence, "box", at)
+        step = due_step(config, row, evidence, "box", at)
         return step.verdict if step else None
 
     def test_holds_with_no_ratings(self):
@@ -96,7 +96,7 @@
         evidence = Evidence()
         self.add_counts(evidence, "description", runs=2000, rated=2000, good=1900)
         self.add_counts(evidence, "note", runs=80, rated=80, good=20)
-        step = judge(config, row, evidence, "box", 100_000)
+        step = due_step(config, row, evidence, "box", 100_000)
         assert step.verdict is StepVerdict.PULL_BACK
         assert "class note" in step.reason
 
--- a/tests/test_ramping.py
+++ b/tests/test_ramping.py
@@ -27,7 +27,7 @@
 from spanshunt.systems.judging import RECORD_STAGGER_MS
 from spanshunt.systems.judging import judge
 from spanshunt.systems.judging import record_delay
-from spanshunt.systems.judging import verdict_to_record
+from spanshunt.systems.judging import update_verdict
 from spanshunt.systems.ramping import apply_order
 from spanshunt.systems.ramping import apply_start_time
 from spanshunt.systems.ramping import apply_verdict
@@ -289,7 +289,7 @@
 def test_good_version_succeeds_before_the_deadline():
     fleet = fleet_in_rollout()
     add_answers(fleet, 20, 0.0)
-    due = verdict_to_record(fleet, row_of(fleet), ms(22.8))
+    due = update_verdict(fleet, row_of(fleet), ms(22.8))
     assert due is not None and due.verdict is Verdict.SUCCEEDED
     assert current_share(fleet, ms(22.5), True) == 1.0
 
@@ -297,7 +297,7 @@
 def test_bad_version_gets_no_requests_before_its_verdict_is_recorded():
     fleet = fleet_in_rollout()
     add_answers(fleet, 8, 0.9)
-    verdict_to_record(fleet, row_of(fleet), ms(8))
+    update_verdict(fleet, row_of(fleet), ms(8))
     assert not row_of(fleet).recorded
     assert entering_part(fleet, ms(8)) == entering_part(fleet, ms(23)) == 0.0
     assert not version_rule_for(fleet, SERVICE, "", "r", ms(23)).admits({NEW})
@@ -395,7 +395,7 @@
     @rule(box=st.integers(0, 2))
     def record(self, box):
         fleet = self.boxes[box]
-        due = verdict_to_record(fleet, row_of(fleet), self.now)
+        due = update_verdict(fleet, row_of(fleet), self.now)
         if due is None:
             return
         if self.stored is None:
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -23,7 +23,7 @@
 from spanshunt.ids import VersionId
 from spanshunt.platform import wire
 from spanshunt.systems.ramping import apply_order
-from spanshunt.systems.succeeding import hears_majority
+from spanshunt.systems.succeeding import hears_enough_peers
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
 
@@ -47,7 +47,7 @@
 
 def hears(heard: int, failing: int, silent: int) -> bool:
     fleet = with_peers(heard, failing, silent)
-    return hears_majority(fleet, fleet.rollouts.rows[SERVICE], ms(10))
+    return hears_enough_peers(fleet, fleet.rollouts.rows[SERVICE], ms(10))
 
 
 def test_box_of_a_large_fleet_hears_most_though_it_talks_to_few():
