--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold and the planner: plans, conflicts, doubles, unknown records."""
+"""The fold and the planner: plans, conflicts, duplicates and unknown records."""
 
 import pytest
 from hypothesis import given
@@ -41,7 +41,7 @@
         assert config.versions[DEAR].state is VersionState.WITHDRAWN
         assert config.conflicts[second.plan] == (f"version/{DEAR}",)
 
-    def test_doubled_confirm_folds_once(self):
+    def test_duplicate_confirm_is_folded_once(self):
         config = base_config()
         record = confirm_of(config, NEW)
         put(config, record)
@@ -64,14 +64,14 @@
         with pytest.raises(InvariantError):
             fold_record(config, late)
 
-    def test_unknown_kind_is_passed_over(self):
+    def test_unknown_kind_is_skipped(self):
         config = base_config()
         before = config.next_offset
         fold_record(config, LogRecord(before, 0, b'{"type":"of-a-newer-version"}'))
         assert config.next_offset == before + 1
 
     @given(st.binary(max_size=200))
-    def test_any_bytes_are_passed_over(self, data: bytes):
+    def test_any_bytes_are_skipped(self, data: bytes):
         config = base_config()
         fold_record(config, LogRecord(config.next_offset, 0, data))
         assert DEAR in config.versions
@@ -84,7 +84,7 @@
         found = verify_snapshot(decode_record(raw).unwrap())
         assert found == config
 
-    def test_altered_snapshot_is_not_taken(self):
+    def test_altered_snapshot_is_rejected(self):
         snapshot = snapshot_of(base_config())
         del snapshot.config.versions[CHEAP]
         assert verify_snapshot(snapshot) is None
--- a/tests/test_following_machine.py
+++ b/tests/test_following_machine.py
@@ -1,8 +1,9 @@
-"""Boxes that follow the workers' list through a store that fails in parts.
+"""Boxes that follow the workers' list while the store fails for some or all of them.
 
-The store goes away and comes back, refuses single boxes, and single boxes are cut off
-from all; entries lapse while the store is away. What must hold is what callers would
-see: no calm box uses a worker that has left, and none loses one that lives.
+The store becomes unreachable and returns, refuses single boxes, and single boxes are
+cut off from everything; entries expire while the store is unreachable. The test checks
+what callers would notice: in undisturbed times, no box uses a worker that has left, and
+none loses a live one.
 """
 
 import random
@@ -41,14 +42,14 @@
 DOMAINS = ("north", "north", "north", "south")
 
 
-class OneBox:
-    """A box's tables and exchanges, and what strikes it."""
+class SimulatedBox:
+    """The tables and exchanges of a box, and the faults injected into it."""
 
     def __init__(self, number: int, clock: ManualClock) -> None:
         self.fleet = make_fleet(f"box-{number}", DOMAINS[number])
         self.exchange = Exchange(self.fleet, clock, random.Random(number), _none, ())
         self.cut = self.refused = False
-        self.struck = 0
+        self.disturbed_at = 0
         self.read_next = 0
 
     @property
@@ -61,7 +62,7 @@
 
 
 def _none():
-    raise AssertionError("no catalog is told here")
+    raise AssertionError("this test exchanges no catalog")
 
 
 class Following(RuleBasedStateMachine):
@@ -71,7 +72,9 @@
     def begin(self, seed):
         self.clock = ManualClock()
         self.rng = random.Random(seed)
-        self.boxes = [OneBox(number, self.clock) for number in range(len(DOMAINS))]
+        self.boxes = [
+            SimulatedBox(number, self.clock) for number in range(len(DOMAINS))
+        ]
         for box in self.boxes:
             for other in self.boxes:
                 if other is not box:
@@ -109,7 +112,7 @@
     @precondition(lambda self: self.up)
     @rule(ticks=st.integers(20, 60), lapse=st.booleans())
     def store_goes_away(self, ticks, lapse):
-        """It is away for all; entries lapse, and come back if their workers live."""
+        """Make the store unreachable; entries of live workers expire and return."""
         self.up = False
         self._pass(ticks)
         self.up = True
@@ -129,7 +132,7 @@
         box = self.boxes[number]
         box.cut = True
         self._pass(ticks)
-        box.cut, box.struck = False, self.clock.now()
+        box.cut, box.disturbed_at = False, self.clock.now()
 
     @rule(number=st.integers(0, 3), ticks=st.integers(5, 60))
     def store_refuses_a_box(self, number, ticks):
@@ -166,7 +169,7 @@
                     self._exchange(box)
             self._check(now)
 
-    def _read(self, box: OneBox, now: Millis) -> None:
+    def _read(self, box: SimulatedBox, now: Millis) -> None:
         fleet = box.fleet
         drop_missing_workers(fleet, now)
         if now < box.read_next or not must_read_list(fleet, now, DRAINING_MS):
@@ -185,7 +188,7 @@
         apply_worker_list(fleet, rows, Offset(self.end), now)
         fleet.workers_read_at = now
 
-    def _exchange(self, box: OneBox) -> None:
+    def _exchange(self, box: SimulatedBox) -> None:
         if box.cut:
             return
         others = [other for other in self.boxes if other is not box and not other.cut]
@@ -196,8 +199,8 @@
 
     def _check(self, now: Millis) -> None:
         for box in self.boxes:
-            struck = box.cut or now < box.struck + CALM_MS
-            if struck or not self.up or now < self.unstable + CALM_MS:
+            disturbed = box.cut or now < box.disturbed_at + CALM_MS
+            if disturbed or not self.up or now < self.unstable + CALM_MS:
                 continue
             late = [
                 name
@@ -212,8 +215,8 @@
             return
         now = self.clock.now()
         for box in self.boxes:
-            struck = box.cut or now < box.struck + CALM_MS
-            if struck or now < self.unstable + CALM_MS + ENTRY_GRACE_MS:
+            disturbed = box.cut or now < box.disturbed_at + CALM_MS
+            if disturbed or now < self.unstable + CALM_MS + ENTRY_GRACE_MS:
                 continue
             known = {
                 name for name in self._living() if now > self.listed[name] + CALM_MS
--- a/tests/test_following_workers.py
+++ b/tests/test_following_workers.py
@@ -1,4 +1,4 @@
-"""The list of workers: leaving, lapsed with the store, coming back."""
+"""The list of workers: entries that leave, expire with the store, and come back."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from spanshunt.ids import BoxId
 from spanshunt.ids import DomainId
 from spanshunt.ids import Offset
-from spanshunt.peers.news_rows import listed as told_worker
+from spanshunt.peers.news_rows import listed as listed_worker
 from spanshunt.peers.news_rows import workers_news
 from spanshunt.systems.following_workers import ListedWorker
 from spanshunt.systems.following_workers import apply_worker_list
@@ -71,8 +71,7 @@
 
 
 def test_entry_seen_after_the_return_is_not_waited_for_when_it_goes():
-    """Seen: a worker whose entry went 0.4 s after the store's return was kept and got
-    requests that it should not have."""
+    """A worker whose entry went 0.4 s after the store's return gets no requests."""
     fleet = make_fleet()
     record_list_read(fleet, ms(1))
     apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
@@ -83,7 +82,7 @@
 
 
 def test_entry_that_went_while_other_boxes_read_the_list_is_not_waited_for():
-    """Seen: a worker left just as one box was no longer cut off, and was kept."""
+    """A worker that leaves just as a box is reconnected is not kept by that box."""
     fleet = make_fleet()
     record_list_read(fleet, ms(1))
     apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
@@ -94,8 +93,8 @@
     assert usable(fleet) == {"a"}
 
 
-def test_entry_that_a_peer_waits_for_is_not_taken_up_again():
-    """Seen: a worker that had gone came back by a peer's list."""
+def test_entry_that_a_peer_waits_for_is_not_added_again():
+    """A worker that is gone does not come back through a peer's list."""
     fleet = make_fleet()
     apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
     apply_worker_list(fleet, listed("a"), Offset(3), ms(2))
@@ -104,12 +103,12 @@
     apply_worker_list(peer, listed("a", "b"), Offset(2), ms(1))
     record_list_read(peer, ms(5))
     assert apply_worker_list(peer, listed("a"), Offset(4), ms(5)).kept == ("b",)
-    told = [told_worker(item) for item in workers_news(peer, ms(5))]
-    assert apply_worker_list(fleet, told, Offset(4), ms(5.1)).empty
+    rows = [listed_worker(item) for item in workers_news(peer, ms(5))]
+    assert apply_worker_list(fleet, rows, Offset(4), ms(5.1)).empty
     assert usable(fleet) == {"a"}
 
 
-def test_outage_of_all_boxes_breaks_the_row_of_readings():
+def test_outage_of_all_boxes_ends_the_read_streak():
     fleet = make_fleet()
     for at in (1, 2, 3):
         record_list_read(fleet, ms(at), unbroken_since=ms(0))
@@ -136,7 +135,7 @@
     assert usable(fleet) == {"a"}
 
 
-def test_outage_is_told_once():
+def test_outage_is_reported_once():
     fleet = make_fleet()
     assert record_store_failure(fleet, ms(1))
     assert not record_store_failure(fleet, ms(2))
@@ -203,7 +202,7 @@
 
 
 def test_old_list_is_read_by_any_box():
-    """A reader that froze is heard no more only after a while; a list ages sooner."""
+    """A frozen reader counts as silent only after a while; a list ages sooner."""
     fleet = with_peer("box-1", heard=10.9)
     assert find_list_reader(fleet, ms(11)) == "box-1"
     assert must_read_list(fleet, ms(11), 2_000)
@@ -211,7 +210,10 @@
 
 @pytest.mark.parametrize(("boxes", "tries_at"), [(2, 10.4), (10, 12.0)])
 def test_many_boxes_try_seldom_while_the_store_is_away(boxes, tries_at):
-    """Each box tried 2.5 times a second, however many they were."""
+    """The rate of calls to an unreachable store does not grow with the number of boxes.
+
+    Without the bound, each box calls 2.5 times a second.
+    """
     fleet = with_peer("box-1", heard=tries_at)
     for number in range(3, boxes + 1):
         row = PeerRow(BoxId(f"box-{number}"), "a", DomainId("north"))
@@ -223,7 +225,7 @@
     assert must_read_list(fleet, ms(tries_at), 2_000)
 
 
-def test_lists_that_say_the_same_have_one_digest():
+def test_lists_with_the_same_contents_have_one_digest():
     one, other = make_fleet(), make_fleet()
     for fleet, names in ((one, ("a", "b")), (other, ("b", "a"))):
         assert list_digest(fleet) == 0
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Freshness: a box that may be behind takes no work."""
+"""Freshness: a box whose configuration may be stale takes no requests."""
 
 import pytest
 from bench.world import World
@@ -10,15 +10,15 @@
 
 
 def exchange(world: World, one: str, other: str) -> None:
-    """Let two boxes exchange news, both ways."""
+    """Let two boxes exchange state in both directions."""
     for asker, asked in ((one, other), (other, one)):
         world.ask(asker, asked)
         while world.wire:
             world.deliver()
 
 
-def withdraw_held_by_two_of_three() -> World:
-    """Return a world in which two boxes hold an accepted plan, the log then down."""
+def world_with_plan_on_two_of_three() -> World:
+    """Return a world in which two boxes hold an accepted plan and the log is down."""
     world = World(boxes=3)
     world.now += 60_000
     for name in world.names:
@@ -38,7 +38,7 @@
 
 class TestMajority:
     def test_box_cut_from_those_that_hold_a_plan_stops(self):
-        world = withdraw_held_by_two_of_three()
+        world = world_with_plan_on_two_of_three()
         world.cut("box2", "box0")
         world.cut("box2", "box1")
         world.now += FRESH_MS + 1
@@ -46,7 +46,7 @@
         assert world.events["refused not ready"] == 1
 
     def test_box_that_hears_one_of_them_has_the_plan(self):
-        world = withdraw_held_by_two_of_three()
+        world = world_with_plan_on_two_of_three()
         world.cut("box2", "box0")
         world.now += FRESH_MS + 1
         exchange(world, "box2", "box1")
@@ -57,12 +57,12 @@
 
     @pytest.mark.parametrize("wait", [100, 3_000, 60_000])
     def test_box_that_forgot_a_plan_is_no_witness(self, wait: int):
-        """Regression: a box started anew helped another to believe itself fresh.
+        """A box that was replaced must not vouch for the freshness of another.
 
         Boxes have no disks: box0 held the plan, was replaced, and with box2, which
-        never had it, made a majority that had forgotten it.
+        never had it, made a majority that did not know it.
         """
-        world = withdraw_held_by_two_of_three()
+        world = world_with_plan_on_two_of_three()
         world.cut("box1", "box0")
         world.cut("box1", "box2")
         world.crash("box0")
--- a/tests/test_journaling.py
+++ b/tests/test_journaling.py
@@ -1,4 +1,4 @@
-"""Bills: counted once whoever appends them, in whatever order."""
+"""Bills: counted once, whichever box appends them and in any order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -23,7 +23,7 @@
 from spanshunt.tables.config import VersionRow
 
 
-def sealed(count: int):
+def journal_with_bills(count: int):
     journal = a_state().journal
     usage = (Usage("chico@1", 1, 1, 7),)
     entries = tuple(
@@ -36,7 +36,7 @@
 class TestFold:
     @given(st.lists(st.lists(st.integers(0, 19), max_size=20), max_size=12))
     def test_each_entry_counts_once(self, batches: list[list[int]]):
-        journal, entries = sealed(20)
+        journal, entries = journal_with_bills(20)
         fold = BillFold()
         for batch in batches:
             rows = tuple(entries[seq] for seq in batch)
@@ -47,8 +47,8 @@
         assert (total.cost if total else 0) == 7 * len(seen)
 
     def test_record_read_twice_is_folded_once(self):
-        """Regression: two readers at once made one entry look as if it came twice."""
-        journal, entries = sealed(1)
+        """Two concurrent readers must not count one entry as a duplicate."""
+        journal, entries = journal_with_bills(1)
         bills = Bills((JournalPart(journal.incarnation, entries),))
         record = LogRecord(0, 0, encode_record(bills))
         fold = BillFold()
@@ -59,7 +59,7 @@
 
 class TestJournal:
     def test_batches_are_bounded_and_settle(self):
-        journal, _ = sealed(MAX_BATCH_ENTRIES + 5)
+        journal, _ = journal_with_bills(MAX_BATCH_ENTRIES + 5)
         batch = next_batch(journal)
         assert len(batch.parts[0].entries) == MAX_BATCH_ENTRIES
         settle_bills(journal, batch)
@@ -67,7 +67,7 @@
         assert len(next_batch(journal).parts[0].entries) == 5
 
     def test_copies_go_when_the_owner_says_they_are_on_the_log(self):
-        owner, entries = sealed(4)
+        owner, entries = journal_with_bills(4)
         holder = a_state("box-2").journal
         store_copies(holder, owner.incarnation, entries, 0, 0)
         assert holder.size == 4
@@ -75,7 +75,7 @@
         assert holder.size == 1
 
     def test_only_copies_of_owners_that_are_gone_are_taken_over(self):
-        owner, entries = sealed(2)
+        owner, entries = journal_with_bills(2)
         holder = a_state("box-2").journal
         store_copies(holder, owner.incarnation, entries, 0, 0)
         assert orphan_batch(holder, lambda _i, _h: False) is None
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -1,8 +1,8 @@
-"""A store that comes back from a copy: what a box knows stays, what is lost returns.
+"""Restores of the store from a copy: what a box knows stays, what was lost returns.
 
-Seen in the published protocol, not in a fleet: offsets go back and are given out again,
-a read beyond the end gets 410, and what was written since the copy is gone. Boxes took
-410 for records that are too old, and a missing key for one that was taken back.
+Offsets go back and are assigned again, a read beyond the end gets 410, and what was
+written since the copy is gone. A box must not take 410 for trimmed records, nor a
+missing key for a revoked one.
 """
 
 import asyncio
@@ -59,25 +59,27 @@
 NORTH = DomainId("north")
 
 
-def ordered(fleet: Fleet, version: str, era: int, offset: int, at: float = 1) -> bool:
-    place = position_of(era, offset)
-    return apply_order(fleet, SERVICE, VersionId(version), place, ms(24), ms(at))
+def order_version(
+    fleet: Fleet, version: str, era: int, offset: int, at: float = 1
+) -> bool:
+    position = position_of(era, offset)
+    return apply_order(fleet, SERVICE, VersionId(version), position, ms(24), ms(at))
 
 
-def in_era(era: int = 1) -> Fleet:
+def fleet_in_era(era: int = 1) -> Fleet:
     fleet = make_fleet()
     record_era(fleet, era, Millis(0))
     return fleet
 
 
 class Stored(t.NamedTuple):
-    """A running fleet's client of the store, and the eras that it was told."""
+    """A running fleet's client of the store, and the eras reported to it."""
 
     client: StoreClient
     eras: list[int]
 
 
-async def a_client(fleet: TestFleet) -> Stored:
+async def open_client(fleet: TestFleet) -> Stored:
     eras: list[int] = []
     address = fleet.boxes[0].node.settings.store.address
     client = StoreClient(address, 500, lambda _name: None, eras.append)
@@ -85,7 +87,7 @@
     return Stored(client, eras)
 
 
-def test_place_of_a_later_era_is_the_newer_one():
+def test_position_of_a_later_era_is_newer():
     assert position_of(3, 5) > position_of(2, 5_000_000)
     assert era_of(position_of(3, 5)) == 3
     assert offset_of(position_of(3, 5)) == 5
@@ -101,7 +103,7 @@
 
 
 def test_workers_that_the_copy_lacks_are_waited_for():
-    fleet = in_era()
+    fleet = fleet_in_era()
     rows = [make_worker(name) for name in ("a", "b")]
     both = [ListedWorker(row, draining=False, cold_ms=Millis(0)) for row in rows]
     apply_worker_list(fleet, both, position_of(1, 900), ms(1))
@@ -114,51 +116,51 @@
 
 
 def test_order_that_is_written_again_elsewhere_is_the_same_one():
-    """Sessions are drawn by its place: another one would move them midway."""
-    fleet = in_era()
-    assert ordered(fleet, "v2", 1, 57)
+    """Sessions are assigned by the order's position; a new one would move them."""
+    fleet = fleet_in_era()
+    assert order_version(fleet, "v2", 1, 57)
     record_era(fleet, 2, ms(5))
-    assert not ordered(fleet, "v2", 2, 55, at=9)
+    assert not order_version(fleet, "v2", 2, 55, at=9)
     row = fleet.rollouts.rows[SERVICE]
     assert row.order == position_of(1, 57)
     assert row.began == ms(1)
-    assert ordered(fleet, "v3", 2, 56, at=9)
+    assert order_version(fleet, "v3", 2, 56, at=9)
 
 
 def test_order_that_the_copy_still_holds_does_not_replace_the_lost_one():
-    fleet = in_era()
-    ordered(fleet, "v2", 1, 40)
+    fleet = fleet_in_era()
+    order_version(fleet, "v2", 1, 40)
     apply_verdict(
         fleet.rollouts.rows[SERVICE], Verdict.SUCCEEDED, "", ms(2), recorded=True
     )
-    assert ordered(fleet, "v3", 1, 57, at=30)
+    assert order_version(fleet, "v3", 1, 57, at=30)
     record_era(fleet, 2, ms(35))
-    assert not ordered(fleet, "v2", 2, 40, at=35)
+    assert not order_version(fleet, "v2", 2, 40, at=35)
     assert fleet.rollouts.rows[SERVICE].version == "v3"
 
 
 def test_version_ordered_anew_long_after_it_was_judged_is_another_order():
-    fleet = in_era()
-    ordered(fleet, "v2", 1, 40)
+    fleet = fleet_in_era()
+    order_version(fleet, "v2", 1, 40)
     apply_verdict(
         fleet.rollouts.rows[SERVICE], Verdict.ROLLED_BACK, "", ms(2), recorded=True
     )
     later = ms(30) + MAX_COPY_AGE_MS
     record_era(fleet, 2, later)
-    assert not ordered(fleet, "v2", 2, 40, at=later / 1_000)
-    assert ordered(fleet, "v2", 2, 41, at=later / 1_000)
+    assert not order_version(fleet, "v2", 2, 40, at=later / 1_000)
+    assert order_version(fleet, "v2", 2, 41, at=later / 1_000)
 
 
 def test_box_that_starts_after_the_return_takes_the_place_that_others_know():
-    fleet = in_era(2)
-    ordered(fleet, "v2", 2, 57)
-    assert not ordered(fleet, "v2", 1, 57, at=0.5)
+    fleet = fleet_in_era(2)
+    order_version(fleet, "v2", 2, 57)
+    assert not order_version(fleet, "v2", 1, 57, at=0.5)
     assert fleet.rollouts.rows[SERVICE].order == position_of(1, 57)
 
 
 def test_what_was_written_long_before_is_not_looked_at_again():
-    fleet = in_era()
-    ordered(fleet, "v2", 1, 40)
+    fleet = fleet_in_era()
+    order_version(fleet, "v2", 1, 40)
     row = fleet.rollouts.rows[SERVICE]
     apply_verdict(row, Verdict.SUCCEEDED, "", ms(2), recorded=True)
     record_era(fleet, 2, Millis(ms(2) + MAX_COPY_AGE_MS + 1))
@@ -166,7 +168,7 @@
 
 
 def test_domain_whose_record_the_copy_lacks_stays_emptied_for_a_while():
-    fleet = in_era()
+    fleet = fleet_in_era()
     add_worker(fleet, make_worker("w-1"))
     take_evacuation(fleet, EvacuationRow(NORTH, position_of(1, 9), active=True), ms(1))
     record_era(fleet, 2, ms(5))
@@ -177,11 +179,14 @@
 
 
 async def test_peer_that_has_not_heard_of_the_return_does_not_say_what_stands():
-    """It tells what stood before; who knows of the return looks for itself."""
+    """A peer that does not know of the restore reports what was recorded before it.
+
+    A box that knows of the restore checks the store itself.
+    """
     async with running_fleet() as running:
         node = running.boxes[0].node
         fleet = node.fleet
-        ordered(fleet, "v2", 1, 57)
+        order_version(fleet, "v2", 1, 57)
         row = fleet.rollouts.rows[SERVICE]
         apply_verdict(row, Verdict.SUCCEEDED, "", node.clock.now(), recorded=False)
         told = RolloutNews(
@@ -197,7 +202,7 @@
 
 
 class _Model:
-    """A store of operators' records that may come back from a copy."""
+    """A store of operators' records that may be restored from a copy."""
 
     def __init__(self) -> None:
         self.era, self.end = 1, 0
@@ -231,12 +236,12 @@
         max_size=40,
     )
 )
-def test_box_believes_what_the_operators_wrote_last(
+def test_box_agrees_with_the_last_records_of_the_operators(
     steps: list[tuple[str, str]],
 ):
-    """Whatever is copied and lost: after the operators wrote again, both agree."""
-    fleet, store = in_era(), _Model()
-    meant: dict[DomainId, bool] = {}
+    """After any loss, a box agrees with the records that the operators rewrite."""
+    fleet, store = fleet_in_era(), _Model()
+    expected: dict[DomainId, bool] = {}
     now = 1_000
 
     def read() -> None:
@@ -250,9 +255,9 @@
         now += 100
         domain = DomainId(name)
         if step in ("empty", "free"):
-            meant[domain] = step == "empty"
+            expected[domain] = step == "empty"
             take_evacuation(
-                fleet, store.write(domain, active=meant[domain]), Millis(now)
+                fleet, store.write(domain, active=expected[domain]), Millis(now)
             )
         elif step == "copy":
             store.copy()
@@ -260,20 +265,20 @@
             store.come_back()
             record_era(fleet, store.era, Millis(now))
             read()
-            for known, active in meant.items():
+            for known, active in expected.items():
                 if active and known in fleet.evacuations:
-                    assert is_emptied(fleet, known), "it was never taken back"
-            for known, active in meant.items():
+                    assert is_emptied(fleet, known), "it was never revoked"
+            for known, active in expected.items():
                 store.write(known, active=active)
         read()
     now += OPERATOR_REWRITE_GRACE_MS
     read()
-    for domain, active in meant.items():
+    for domain, active in expected.items():
         assert is_emptied(fleet, domain) is active
 
 
 async def drill(fleet: TestFleet, kept: t.Any) -> None:
-    """The store comes back from a copy, and the operator writes again."""
+    """Restore the store from a copy and let the operator write again."""
     await fleet.store.come_back(kept)
     await fleet.configure(fleet_config(fleet))
 
@@ -351,9 +356,9 @@
         kept = fleet.store.copy()
         node = fleet.boxes[0].node
         now = node.clock.now()
-        lives = [WorkerIncarnation(f"w-{n}") for n in range(ENDS_MOST)]
+        incarnations = [WorkerIncarnation(f"w-{n}") for n in range(ENDS_MOST)]
         row = SuspectRequest(
-            Fingerprint("f" * 16), SERVICE, ends=dict.fromkeys(lives, now)
+            Fingerprint("f" * 16), SERVICE, ends=dict.fromkeys(incarnations, now)
         )
         row.quarantined_at, row.quarantined_by, row.shared = (
             now,
@@ -370,7 +375,7 @@
         assert topic("keyed.kept-back").end == 1
 
 
-async def test_box_tells_again_where_it_is():
+async def test_box_writes_its_entry_again():
     async with running_fleet() as fleet:
         kept = fleet.store.copy()
         late = await fleet.add_box()
@@ -384,7 +389,7 @@
 
 async def test_read_beyond_the_end_and_a_condition_on_an_old_end_are_told_apart():
     async with running_fleet() as fleet:
-        client, eras = await a_client(fleet)
+        client, eras = await open_client(fleet)
         kept = fleet.store.copy()
         await client.append("keyed.status", "k", b"1")
         end = (await client.newest("keyed.status")).ok_value.end
@@ -392,7 +397,7 @@
         await fleet.store.come_back(kept)
         found = await client.tail("keyed.status", end, 10)
         assert found.err_value.problem is StoreProblem.TRIMMED
-        # The offset is given out again: a condition on the end of before would hold.
+        # The offset is assigned again: a condition on the previous end would hold.
         await client.append("keyed.status", "other", b"2")
         done = await client.append("keyed.status", "k", b"3", end)
         assert done.err_value.problem is StoreProblem.CONDITION
@@ -403,7 +408,7 @@
 
 async def test_answer_of_an_earlier_era_is_not_taken():
     async with running_fleet() as fleet:
-        client, eras = await a_client(fleet)
+        client, eras = await open_client(fleet)
         await client.newest("keyed.op")
         fleet.store.era = 0
         found = await client.newest("keyed.op")
@@ -415,7 +420,7 @@
 @pytest.mark.parametrize("text", ["", "soon", "-1", "1.5", "1796271689"])
 async def test_era_that_can_not_be_read_changes_nothing(text: str):
     async with running_fleet() as fleet:
-        client, eras = await a_client(fleet)
+        client, eras = await open_client(fleet)
         await client.newest("keyed.op")
         fleet.store.era = t.cast(int, text)
         assert (await client.newest("keyed.op")).ok_value.items
@@ -424,10 +429,11 @@
 
 
 async def test_order_that_comes_just_after_the_return_is_known_at_once():
-    """Seen: a box took it up 0.7 s later and sent sessions to the entering version.
+    """A box applies an order that arrives just after a restore without delay.
 
-    It waited for what the copy lacked, and dropped the records that came meanwhile to
-    read them again. Proof: its line of the order, which says that it did not see it.
+    A box that waits for what the copy lacks and drops the records that arrive meanwhile
+    applies the order 0.7 s late and sends sessions to the entering version. ``seen``
+    shows that the box did see the order.
     """
     async with running_fleet() as fleet:
         node = fleet.boxes[0].node
--- a/tests/test_proving.py
+++ b/tests/test_proving.py
@@ -1,4 +1,4 @@
-"""How old the proof is that the catalog known is the newest, and who renews it."""
+"""The age of the proof that the known catalog is the newest, and who renews it."""
 
 import random
 
@@ -39,7 +39,9 @@
 NOW = ms(100)
 
 
-def a_fleet(box: str = "b-2", domain: str = "north", version: int = 7) -> Fleet:
+def fleet_with_catalog(
+    box: str = "b-2", domain: str = "north", version: int = 7
+) -> Fleet:
     """Return the tables of a box that knows a catalog."""
     fleet = make_fleet(box, domain)
     raw = msgspec.json.encode(config(version))
@@ -50,15 +52,15 @@
 def add_peer(
     fleet: Fleet, box: str, domain: str, *, heard_ms: int = 0, served: bool = True
 ) -> PeerRow:
-    """Let the box know a peer that was heard so long ago."""
+    """Add a peer that was heard `heard_ms` ago."""
     heard = Millis(NOW - heard_ms)
     row = PeerRow(BoxId(box), "h:1", DomainId(domain), heard=heard, served=served)
     fleet.peers[row.box] = row
     return row
 
 
-def looks_from(fleet: Fleet) -> float:
-    """Return from which age of the proof on the box looks, in parts of the bound."""
+def probe_age_fraction(fleet: Fleet) -> float:
+    """Return the proof age at which the box probes, as a fraction of the bound."""
     for age in range(0, 2 * IN_FORCE_MS, 10):
         fleet.catalog_proof = msgspec.structs.replace(
             fleet.catalog_proof, at=Millis(NOW - age)
@@ -72,54 +74,54 @@
     def test_nothing_is_proved_at_first(self):
         assert proof_age(make_fleet(), ms(5)) == -1
 
-    def test_reading_proves_as_of_its_beginning(self):
+    def test_read_proves_as_of_its_start(self):
         fleet = make_fleet("box-1")
         record_catalog_read(fleet, ms(2), Offset(7))
         assert proof_age(fleet, ms(5)) == 3_000
         assert fleet.catalog_proof.source == "box-1"
 
-    def test_reading_that_began_earlier_proves_nothing_more(self):
+    def test_read_that_began_earlier_is_ignored(self):
         fleet = make_fleet()
         record_catalog_read(fleet, ms(2), Offset(7))
         record_catalog_read(fleet, ms(1), Offset(6))
         assert fleet.catalog_proof.end == 7
 
-    def test_catalog_is_not_proved_once_a_peer_tells_of_a_newer_one(self):
-        fleet = a_fleet(version=7)
+    def test_catalog_is_not_proved_once_a_peer_reports_a_newer_one(self):
+        fleet = fleet_with_catalog(version=7)
         record_catalog_read(fleet, NOW, Offset(7))
         assert is_catalog_proved(fleet, NOW, 1_000)
         add_peer(fleet, "b-1", "north").catalog_version = 8
         assert not is_catalog_proved(fleet, NOW, 1_000)
 
 
-class TestWhoLooks:
-    """One box of those that hear each other; more where they do not."""
+class TestProber:
+    """One box of those that hear each other probes; more boxes where they do not."""
 
-    def test_first_box_of_the_fleet_looks_soon(self):
-        fleet = a_fleet("b-1")
+    def test_first_box_of_the_fleet_probes_first(self):
+        fleet = fleet_with_catalog("b-1")
         add_peer(fleet, "b-2", "north")
         add_peer(fleet, "a-1", "south", served=False)
-        assert looks_from(fleet) == pytest.approx(FLEET_FRACTION)
+        assert probe_age_fraction(fleet) == pytest.approx(FLEET_FRACTION)
 
-    def test_first_box_of_a_domain_looks_later(self):
-        fleet = a_fleet("b-2")
+    def test_first_box_of_a_domain_probes_later(self):
+        fleet = fleet_with_catalog("b-2")
         add_peer(fleet, "b-1", "south")
         add_peer(fleet, "b-3", "north")
-        assert looks_from(fleet) == pytest.approx(DOMAIN_FRACTION)
+        assert probe_age_fraction(fleet) == pytest.approx(DOMAIN_FRACTION)
 
-    def test_other_boxes_look_before_the_bound(self):
-        fleet = a_fleet("b-2")
+    def test_other_boxes_probe_before_the_bound(self):
+        fleet = fleet_with_catalog("b-2")
         add_peer(fleet, "b-1", "north")
-        assert looks_from(fleet) == pytest.approx(BOX_FRACTION)
+        assert probe_age_fraction(fleet) == pytest.approx(BOX_FRACTION)
 
     def test_box_that_hears_nobody_is_the_first(self):
-        fleet = a_fleet("b-2")
+        fleet = fleet_with_catalog("b-2")
         add_peer(fleet, "b-1", "north", heard_ms=PEER_TIMEOUT_MS)
-        assert looks_from(fleet) == pytest.approx(FLEET_FRACTION)
+        assert probe_age_fraction(fleet) == pytest.approx(FLEET_FRACTION)
 
     def test_box_is_not_the_first_while_one_before_it_proves(self):
-        """In a large fleet it hears few others, and that one is seldom among them."""
-        fleet = a_fleet("b-2")
+        """A box of a large fleet hears few others, and rarely the one that proves."""
+        fleet = fleet_with_catalog("b-2")
         told = CatalogProof(Millis(NOW - 900), Offset(7), BoxId("b-1"))
         merge_peer_proof(fleet, 7, told)
         assert not is_fleet_prober(fleet, NOW, IN_FORCE_MS)
@@ -127,7 +129,11 @@
 
     @pytest.mark.parametrize(("boxes", "domains"), [(6, 3), (60, 3), (120, 12)])
     def test_one_box_proves_for_a_fleet_of_any_size(self, boxes, domains):
-        """Three of sixty boxes took themselves for the first, one in each domain."""
+        """A box must not take itself for the first of the fleet because it hears few
+        others.
+
+        With 60 boxes, three took themselves for the first, one in each domain.
+        """
         found = play(boxes, domains, IN_FORCE_MS, seconds=10, seed=1, cut=False)
         assert found.calls_per_s <= 1.25 / (WAIT_PART * IN_FORCE_MS / 1_000)
         assert found.oldest_ms < BOX_FRACTION * IN_FORCE_MS
@@ -138,18 +144,18 @@
         assert found.calls_per_s <= 1.25 * domains / (WAIT_PART * IN_FORCE_MS / 1_000)
         assert found.oldest_ms < BOX_FRACTION * IN_FORCE_MS
 
-    def test_box_that_the_store_does_not_serve_looks_at_the_usual_pace(self):
-        fleet = a_fleet("b-2")
+    def test_box_that_the_store_does_not_serve_does_not_probe(self):
+        fleet = fleet_with_catalog("b-2")
         record_store_failure(fleet, Millis(NOW - 100))
-        assert looks_from(fleet) == float("inf")
+        assert probe_age_fraction(fleet) == float("inf")
 
 
-class TestTold:
-    """Proofs that peers tell, in messages that take any time on their way."""
+class TestPeerProofs:
+    """Proofs that peers send, in messages that take any time to arrive."""
 
     def setup_method(self):
         self.clock = ManualClock(NOW)
-        self.fleet = a_fleet()
+        self.fleet = fleet_with_catalog()
         self.exchange = Exchange(
             self.fleet, self.clock, random.Random(1), lambda: None, ()
         )
@@ -174,14 +180,14 @@
         assert proof_age(self.fleet, self.clock.now()) == 500
         assert self.fleet.catalog_proof.source == "b-3"
 
-    def test_message_that_was_held_up_is_as_old_as_it_is(self):
-        """A link that comes back delivers what was sent before, seconds late."""
+    def test_delayed_message_does_not_make_the_proof_younger(self):
+        """A link that comes back delivers messages that were sent seconds before."""
         self.exchange.take(self.news(told_at=5_000, age_ms=200), NOW)
         self.clock.advance(9_000)
         self.exchange.take(self.news(told_at=5_100, age_ms=0))
         assert proof_age(self.fleet, self.clock.now()) == 8_900
 
-    def test_message_of_a_box_that_never_answered_tells_no_age(self):
+    def test_message_of_a_box_that_never_answered_gives_no_age(self):
         self.exchange.take(self.news(told_at=5_000, age_ms=0))
         assert proof_age(self.fleet, self.clock.now()) == -1
 
--- a/tests/test_worker_entries.py
+++ b/tests/test_worker_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the workers' list: whose they are, and which life of a worker it is."""
+"""Entries of the workers' list: which worker and which incarnation they describe."""
 
 import json
 import typing as t
@@ -14,7 +14,7 @@
 from spanshunt.ids import Millis
 from spanshunt.ids import Offset
 from spanshunt.ids import WorkerId
-from spanshunt.peers.news_rows import listed as told_worker
+from spanshunt.peers.news_rows import listed as listed_worker
 from spanshunt.peers.news_rows import workers_news
 from spanshunt.platform.wire import decode_worker
 from spanshunt.systems.ending import note_end
@@ -52,7 +52,7 @@
     return found.ok_value.row if found.is_ok() else None
 
 
-def test_entry_tells_which_life_of_a_worker_it_is():
+def test_entry_gives_the_incarnation_of_a_worker():
     row = decoded()
     assert row is not None
     assert row.incarnation == "w-1/1769815722207"
@@ -79,14 +79,14 @@
         {"born": 1.5},
     ],
 )
-def test_entry_of_another_writer_names_no_worker(changes: dict[str, t.Any]):
+def test_invalid_entry_gives_no_worker(changes: dict[str, t.Any]):
     assert decoded(**changes) is None
 
 
 @pytest.mark.parametrize(
     "raw", [b"", b"\xff\xfe", b"[]", b"7", b'{"Backend":', b"null"]
 )
-def test_bytes_that_cannot_be_read_name_no_worker(raw: bytes):
+def test_undecodable_bytes_give_no_worker(raw: bytes):
     assert decode_worker("w-1", raw).is_err()
 
 
@@ -100,15 +100,17 @@
         assert {"w-1", "w-2", "w-3"} <= set(rows)
 
 
-def _life(born: int) -> WorkerRow:
+def _row_born_at(born: int) -> WorkerRow:
     row = make_worker("w-1")
     row.born = Millis(born)
     return row
 
 
-def test_worker_back_under_its_id_has_nothing_of_its_former_life():
+def test_new_incarnation_has_no_state_of_the_former_one():
     fleet = make_fleet()
-    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(
+        fleet, [ListedWorker(_row_born_at(1_000), False)], Offset(1), ms(1)
+    )
     former = fleet.workers.rows[WorkerId("w-1")]
     former.inflight = 3
     note_load(former, Load(7, 2, 8), ms(1))
@@ -116,7 +118,7 @@
         note_answer(former, 0.0, good=False, now=ms(2))
     mark_replaced(fleet, former)
     change = apply_worker_list(
-        fleet, [ListedWorker(_life(2_000), False)], Offset(2), ms(3)
+        fleet, [ListedWorker(_row_born_at(2_000), False)], Offset(2), ms(3)
     )
     row = fleet.workers.rows[WorkerId("w-1")]
     assert change.came == ("w-1",)
@@ -127,27 +129,35 @@
     assert row.inflight == 0
 
 
-def test_same_life_told_again_changes_nothing():
+def test_same_incarnation_listed_again_changes_nothing():
     fleet = make_fleet()
-    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(
+        fleet, [ListedWorker(_row_born_at(1_000), False)], Offset(1), ms(1)
+    )
     fleet.workers.rows[WorkerId("w-1")].inflight = 2
-    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(2), ms(2))
-    apply_worker_list(fleet, [ListedWorker(_life(0), False)], Offset(3), ms(3))
+    apply_worker_list(
+        fleet, [ListedWorker(_row_born_at(1_000), False)], Offset(2), ms(2)
+    )
+    apply_worker_list(fleet, [ListedWorker(_row_born_at(0), False)], Offset(3), ms(3))
     row = fleet.workers.rows[WorkerId("w-1")]
     assert row.inflight == 2 and row.born == 1_000
 
 
-def test_peers_tell_which_life_it_is():
+def test_peers_report_the_incarnation():
     fleet, peer = make_fleet(), make_fleet("box-2")
-    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
-    told = [told_worker(item) for item in workers_news(fleet, ms(1))]
-    apply_worker_list(peer, told, Offset(1), ms(1))
+    apply_worker_list(
+        fleet, [ListedWorker(_row_born_at(1_000), False)], Offset(1), ms(1)
+    )
+    rows = [listed_worker(item) for item in workers_news(fleet, ms(1))]
+    apply_worker_list(peer, rows, Offset(1), ms(1))
     assert peer.workers.rows[WorkerId("w-1")].incarnation == "w-1/1000"
 
 
-def test_what_was_believed_of_a_worker_ends_with_it():
+def test_end_of_a_worker_clears_its_load_and_cache():
     fleet = make_fleet()
-    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(
+        fleet, [ListedWorker(_row_born_at(1_000), False)], Offset(1), ms(1)
+    )
     row = fleet.workers.rows[WorkerId("w-1")]
     note_load(row, Load(7, 2, 8), ms(1))
     row.kept.parts["large/p1"] = 500
@@ -165,14 +175,16 @@
 
 
 def test_list_shows_that_a_worker_ended():
-    """Where an address takes connections for its workers, a connect tells nothing."""
+    """A connect does not show it where a proxy accepts connections for workers."""
     fleet = make_fleet()
-    assert _ended(fleet, _life(1_000), make_worker("w-2"), end=1) == []
-    assert _ended(fleet, _life(1_000), make_worker("w-2"), end=2) == []
-    assert _ended(fleet, _life(2_000), make_worker("w-2"), end=3) == ["w-1/1000"]
+    assert _ended(fleet, _row_born_at(1_000), make_worker("w-2"), end=1) == []
+    assert _ended(fleet, _row_born_at(1_000), make_worker("w-2"), end=2) == []
+    assert _ended(fleet, _row_born_at(2_000), make_worker("w-2"), end=3) == ["w-1/1000"]
     other = make_worker("w-3")
     other.address = "w-2:80"
-    assert _ended(fleet, _life(2_000), make_worker("w-2"), other, end=4) == ["w-2"]
+    assert _ended(fleet, _row_born_at(2_000), make_worker("w-2"), other, end=4) == [
+        "w-2"
+    ]
 
 
 def test_worker_that_left_as_planned_did_not_end_under_its_requests():
@@ -185,9 +197,11 @@
     assert _ended(fleet, other, end=3) == []
 
 
-def test_worker_that_ends_twice_before_its_entry_tells_has_two_lives():
+def test_worker_that_ends_twice_before_a_new_entry_has_two_incarnations():
     fleet = make_fleet()
-    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
+    apply_worker_list(
+        fleet, [ListedWorker(_row_born_at(1_000), False)], Offset(1), ms(1)
+    )
     row = fleet.workers.rows[WorkerId("w-1")]
     first = row.incarnation
     note_end(fleet, row, ms(2))
@@ -197,10 +211,14 @@
     assert row.incarnation != first
 
 
-def test_silence_of_a_former_life_does_not_count():
+def test_silence_of_a_former_incarnation_does_not_count():
     fleet = make_fleet()
-    apply_worker_list(fleet, [ListedWorker(_life(1_000), False)], Offset(1), ms(1))
-    apply_worker_list(fleet, [ListedWorker(_life(2_000), False)], Offset(2), ms(3))
+    apply_worker_list(
+        fleet, [ListedWorker(_row_born_at(1_000), False)], Offset(1), ms(1)
+    )
+    apply_worker_list(
+        fleet, [ListedWorker(_row_born_at(2_000), False)], Offset(2), ms(3)
+    )
     for box in ("box-2", "box-3"):
         note_silence(fleet, Silence(WorkerId("w-1"), BoxId(box), ms(2.5)), ms(3.1))
     assert not is_silent(fleet, WorkerId("w-1"), ms(3.2))
