--- a/src/spanshunt/systems/ending.py
+++ b/src/spanshunt/systems/ending.py
@@ -1,8 +1,9 @@
-"""Workers that end, and which requests they had as they did.
+"""Ends of workers, and the requests that a worker was processing when it ended.
 
-A connection that breaks tells little: links are cut, kept connections go stale, workers
-break answers off and go on. That a worker has ended shows when its address refuses
-connections just after, or when another life of it, or another worker, is there.
+A broken connection alone tells little: network links fail, idle connections are closed,
+and workers abort answers and go on. A worker has ended if its address refuses
+connections just after, or if another incarnation of it, or another worker, appears at
+that address.
 """
 
 from ..ids import Millis
@@ -14,35 +15,36 @@
 from .warming import note_started
 
 BREAK_COUNTS_MS = 5_000
-"""How long before a worker is known to have ended a break counts as part of that, in
-ms: where an address takes connections for it, only the list shows the end, when the
-worker is back some seconds later."""
+"""How long before the detected end of a worker a broken connection still counts as part
+of it, in ms. If the address keeps accepting connections, only the list shows the end,
+once the worker is back some seconds later."""
 
 BREAKS_KEPT = 256
-"""Breaks remembered of one worker at most: twice the requests that an engine runs."""
+"""Maximum number of broken connections kept per worker: twice the number of requests
+that an engine runs."""
 
 
-def note_break(fleet: Fleet, worker: WorkerRow, broke: BrokenConnection) -> None:
-    """Remember that a worker's connection ended under a request."""
+def note_break(fleet: Fleet, worker: WorkerRow, broken: BrokenConnection) -> None:
+    """Record that a worker's connection broke during a request."""
     breaks = fleet.broken_connections.setdefault(worker.name, [])
-    breaks.append(broke)
+    breaks.append(broken)
     del breaks[:-BREAKS_KEPT]
 
 
 def note_end(fleet: Fleet, worker: WorkerRow, now: Millis) -> list[BrokenConnection]:
-    """Take in that a worker has ended; return the breaks that this explains."""
+    """Record that a worker ended; return the broken connections that this explains."""
     worker.ended_at = now
     _forget_life(worker)
     forget_limit(worker, now)
     note_started(fleet, worker, now)
-    for read in [read for read in fleet.recent_prefills if read.worker == worker.name]:
-        fleet.recent_prefills.remove(read)
+    for prefill in [row for row in fleet.recent_prefills if row.worker == worker.name]:
+        fleet.recent_prefills.remove(prefill)
     breaks = fleet.broken_connections.pop(worker.name, [])
-    return [broke for broke in breaks if now - broke.at <= BREAK_COUNTS_MS]
+    return [broken for broken in breaks if now - broken.at <= BREAK_COUNTS_MS]
 
 
 def note_return(fleet: Fleet, worker: WorkerRow, now: Millis) -> None:
-    """Take in that a worker answers: one that had ended is back, in another life."""
+    """Record an answer of a worker; one that had ended has a new incarnation."""
     if worker.ended_at >= 0:
         worker.ended_at = Millis(-1)
         worker.return_count += 1
@@ -50,7 +52,7 @@
 
 
 def _forget_life(worker: WorkerRow) -> None:
-    """Drop what was believed of a worker that has ended: whatever is back is empty."""
+    """Reset the state of a worker that ended; its next incarnation starts empty."""
     worker.kept = PromptCache()
     worker.reported = worker.own_inflight_at_report = worker.queued = 0
     worker.reported_at = Millis(0)
@@ -60,7 +62,7 @@
 
 
 def forget_breaks(fleet: Fleet, now: Millis) -> None:
-    """Drop the breaks that no end can explain any more."""
+    """Remove the broken connections that are too old to belong to an end."""
     for name, breaks in list(fleet.broken_connections.items()):
         if now - breaks[-1].at > BREAK_COUNTS_MS:
             del fleet.broken_connections[name]
--- a/src/spanshunt/systems/evacuating.py
+++ b/src/spanshunt/systems/evacuating.py
@@ -1,7 +1,8 @@
-"""Failure domains that operators emptied: nothing is sent to their workers.
+"""Failure domains that operators evacuate: their workers get no requests.
 
-The newest word on a domain counts, by its place in the operators' stream, wherever a
-box has it from. When a domain is given back, its workers may just have started.
+The newest order for a domain applies, by its offset in the operators' stream, no matter
+from where the box received it. When a domain is returned to service, its workers may
+have just started.
 """
 
 import typing as t
@@ -16,46 +17,47 @@
 
 
 def is_emptied(fleet: Fleet, domain: DomainId) -> bool:
-    """Tell whether nothing may be sent to the workers of a failure domain."""
+    """Return whether a failure domain is evacuated."""
     row = fleet.evacuations.get(domain)
     return row is not None and row.active
 
 
 def emptied_domains(fleet: Fleet) -> frozenset[DomainId]:
-    """Return the failure domains whose workers get nothing."""
+    """Return the failure domains that are evacuated."""
     rows = fleet.evacuations.values()
     return frozenset(row.domain for row in rows if row.active)
 
 
-def take_evacuation(fleet: Fleet, told: EvacuationRow, now: Millis) -> bool:
-    """Take an operator's word in; return whether it changes what is sent where.
+def take_evacuation(fleet: Fleet, received: EvacuationRow, now: Millis) -> bool:
+    """Apply an operator's order; return whether this changes where requests may go.
 
-    That a domain was given back may be known by the record's absence alone, from the
-    place on where the list of records ended: a record at that place is newer.
+    That an evacuation was revoked may follow only from the absence of its record in a
+    complete list of records. It then gets the offset at which the list ended; a record
+    at that offset is newer.
     """
-    known = fleet.evacuations.get(told.domain)
-    if known is not None and _age(known) >= _age(told):
+    known = fleet.evacuations.get(received.domain)
+    if known is not None and _age(known) >= _age(received):
         return False
-    fleet.evacuations[told.domain] = told
+    fleet.evacuations[received.domain] = received
     was_active = known is not None and known.active
-    if was_active and not told.active:
-        _warm_up(fleet, told.domain, now)
-    return was_active != told.active
+    if was_active and not received.active:
+        _warm_up(fleet, received.domain, now)
+    return was_active != received.active
 
 
 def take_absent(
     fleet: Fleet, listed: t.Collection[DomainId], end: Offset, now: Millis
 ) -> tuple[DomainId, ...]:
-    """Take in that a whole list of records names no other domain; return those freed.
+    """Revoke evacuations that a complete list of records lacks; return their domains.
 
     Parameters
     ----------
     fleet : Fleet
         The tables.
     listed : collection of str
-        The domains that are emptied by the list.
+        The domains that are evacuated according to the list.
     end : int
-        Where the operators' stream ended when it was read.
+        End of the operators' stream when the list was read.
     now : int
         The time, in ms.
     """
--- a/src/spanshunt/systems/limiting.py
+++ b/src/spanshunt/systems/limiting.py
@@ -1,8 +1,8 @@
-"""Limits that boxes share with no coordinator.
+"""Limits of organisations that boxes share without a coordinator.
 
-Each box takes that part of an organisation's rate which its part of the demand is, as
-last heard. The parts add up to the rate while what was heard is true; a box that is
-silent counts until its row is too old.
+Each box uses a share of an organisation's rate limit that is proportional to its share
+of the demand, by the last reports of its peers. The shares add up to the limit while
+these reports are correct; a box that became silent counts until its row expires.
 """
 
 import enum
@@ -21,20 +21,22 @@
 
 DAY_MS = 86_400_000
 HEARD_MS = 10_000
-"""A peer's row counts for this long."""
+"""How long a peer's row is valid, in ms."""
 
 LEAST_DEMAND = 0.2
-"""Demand, requests a second, that a box counts as even when it sees none."""
+"""Demand that each box counts with at least, in requests a second, even if it sees
+none."""
 
 IDLE_DEMAND = 0.001
-"""An organisation with less demand, and nothing spent today, is forgotten."""
+"""Demand in requests a second below which an organisation is forgotten, if it spent
+nothing today."""
 
 DEMAND_TAU_MS = 2_000.0
-"""Time constant of the moving mean of demand."""
+"""Time constant of the moving mean of demand, in ms."""
 
 
 class OverLimit(enum.Enum):
-    """Which limit a request is over."""
+    """The kind of limit that a request exceeds."""
 
     RATE = "rate"
     CONCURRENCY = "concurrency"
@@ -42,14 +44,14 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """A request over a limit.
+    """A request that exceeds a limit.
 
     Attributes
     ----------
     limit : OverLimit
-        Which one.
+        The limit that is exceeded.
     retry_ms : int
-        When to come back, in ms.
+        After what time the caller may retry, in ms.
     """
 
     limit: OverLimit
@@ -59,7 +61,7 @@
 def admit(
     usage: Usage, org: OrgId, limits: Limits, boxes: int, now: Millis, wall: Millis
 ) -> Refused | None:
-    """Take a request in, or say which limit it is over."""
+    """Admit a request, or return the limit that it exceeds."""
     own = _own(usage, org, limits, boxes, now)
     own.asked += 1
     _refill(own, limits, boxes, now)
@@ -70,15 +72,15 @@
     if own.running >= _running_bound(own, limits, boxes):
         return Refused(OverLimit.CONCURRENCY, Millis(1_000))
     if own.tokens < 1.0:
-        wait = (1.0 - own.tokens) / max(own.allowance, 1e-6) * 1000
-        return Refused(OverLimit.RATE, Millis(math.ceil(min(wait, 60_000))))
+        wait_ms = (1.0 - own.tokens) / max(own.allowance, 1e-6) * 1000
+        return Refused(OverLimit.RATE, Millis(math.ceil(min(wait_ms, 60_000))))
     own.tokens -= 1.0
     own.running += 1
     return None
 
 
 def finish(usage: Usage, org: OrgId, cost: Micros, wall: Millis) -> None:
-    """Take a request out, and what it cost in."""
+    """Record the end of a request, and its cost."""
     own = usage.own[org]
     own.running -= 1
     _turn_day(own, wall)
@@ -88,33 +90,33 @@
 def tick_usage(
     usage: Usage, limits: dict[OrgId, Limits], boxes: int, now: Millis, period: int
 ) -> None:
-    """Bring demand and allowances up to date; `period` is ms since the last call."""
+    """Update demand and allowances; `period` is the time since the last call, in ms."""
     _forget(usage, now)
     others: dict[OrgId, list[UsageRow]] = {}
-    for heard in usage.heard.values():
-        others.setdefault(heard.row.org, []).append(heard.row)
-    part = 1 - math.exp(-period / DEMAND_TAU_MS)
+    for peer in usage.heard.values():
+        others.setdefault(peer.row.org, []).append(peer.row)
+    weight = 1 - math.exp(-period / DEMAND_TAU_MS)
     for org, own in list(usage.own.items()):
-        own.demand += part * (own.asked * 1000 / period - own.demand)
+        own.demand += weight * (own.asked * 1000 / period - own.demand)
         own.asked = 0
         if own.demand < IDLE_DEMAND and not own.running and not own.spent:
             del usage.own[org]
             continue
-        bound = limits.get(org)
-        if bound is None:
+        org_limits = limits.get(org)
+        if org_limits is None:
             continue
         rows = others.get(org, [])
         own.others_running = sum(row.running for row in rows)
         own.others_spent = Micros(sum(row.spent for row in rows if row.day == own.day))
-        total = sum(max(row.demand, LEAST_DEMAND) for row in rows)
-        silent = max(0, boxes - 1 - len(rows))
-        total += silent * LEAST_DEMAND
-        mine = max(own.demand, LEAST_DEMAND)
-        own.allowance = bound.rate * mine / (mine + total)
+        others_demand = sum(max(row.demand, LEAST_DEMAND) for row in rows)
+        silent_boxes = max(0, boxes - 1 - len(rows))
+        others_demand += silent_boxes * LEAST_DEMAND
+        own_demand = max(own.demand, LEAST_DEMAND)
+        own.allowance = org_limits.rate * own_demand / (own_demand + others_demand)
 
 
 def usage_rows(usage: Usage, origin: str) -> tuple[UsageRow, ...]:
-    """Return this box's rows for peers, of organisations that use anything."""
+    """Return this box's usage rows for peers, of organisations that use anything."""
     return tuple(
         UsageRow(origin, org, round(own.demand, 3), own.running, own.day, own.spent)
         for org, own in usage.own.items()
@@ -125,7 +127,7 @@
 def hear_usage(
     usage: Usage, rows: tuple[UsageRow, ...], own_origin: str, now: Millis
 ) -> None:
-    """Take in rows that a peer sent of itself."""
+    """Merge the usage rows that a peer sent for itself."""
     for row in rows:
         if row.origin != own_origin:
             usage.heard[(row.origin, row.org)] = PeerUsage(row, now)
@@ -141,16 +143,16 @@
 
 
 def _refill(own: OwnUsage, limits: Limits, boxes: int, now: Millis) -> None:
-    most = max(1.0, limits.burst * own.allowance / limits.rate)
-    grown = own.tokens + own.allowance * (now - own.refilled_at) / 1000
-    own.tokens = min(most, grown)
+    capacity = max(1.0, limits.burst * own.allowance / limits.rate)
+    refilled = own.tokens + own.allowance * (now - own.refilled_at) / 1000
+    own.tokens = min(capacity, refilled)
     own.refilled_at = now
 
 
 def _running_bound(own: OwnUsage, limits: Limits, boxes: int) -> int:
-    left = limits.concurrency - own.others_running
-    fair = math.ceil(limits.concurrency / max(1, boxes))
-    return max(left, min(fair, limits.concurrency))
+    unused = limits.concurrency - own.others_running
+    fair_share = math.ceil(limits.concurrency / max(1, boxes))
+    return max(unused, min(fair_share, limits.concurrency))
 
 
 def _turn_day(own: OwnUsage, wall: Millis) -> None:
@@ -162,6 +164,6 @@
 
 
 def _forget(usage: Usage, now: Millis) -> None:
-    for key, heard in list(usage.heard.items()):
-        if now - heard.at > HEARD_MS:
+    for key, peer in list(usage.heard.items()):
+        if now - peer.at > HEARD_MS:
             del usage.heard[key]
--- a/src/spanshunt/systems/outages.py
+++ b/src/spanshunt/systems/outages.py
@@ -1,11 +1,11 @@
-"""Failure domains whose workers can't be reached: requests go to others first.
-
-A domain that loses power or its links takes all of its workers at once. A box that
-tries them one by one learns of each by itself, while the nearest ones look the
-cheapest. Two workers that can't be reached, with no answer from their domain in
-between, say more of the third than its own row does. An outage ends with the first
-answer or after some seconds; it only orders the choice: where no other domain is left,
-nothing changes.
+"""Outages of failure domains: workers in other domains are tried first.
+
+A domain that loses power or its network loses all of its workers at once. A box that
+tries them one by one detects each separately, while the nearest ones look cheapest. Two
+unreachable workers, with no answer from their domain in between, tell more about a
+third one than its own row does. An outage ends with the first answer or after some
+seconds. It only changes the order of preference: if no other domain is left, it has no
+effect.
 """
 
 from ..ids import DomainId
@@ -15,15 +15,17 @@
 from ..tables.workers import WorkerRow
 
 WORKERS_LEAST = 2
-"""Workers of a domain that must be out of reach: one may have ended by itself."""
+"""Workers of a domain that must be unreachable; a single one may have ended on its
+own."""
 
 OUTAGE_MS = 1_500
-"""How long a worker out of reach speaks against its domain, in ms. A box then tries the
-domain again with one request: a refused connect costs it 1 ms, one that hangs 400."""
+"""How long an unreachable worker counts towards an outage of its domain, in ms. A box
+then tries the domain again with one request. A refused connection costs it 1 ms, and
+one that hangs 400 ms."""
 
 
 def note_domain_unreached(fleet: Fleet, worker: WorkerRow, now: Millis) -> None:
-    """Take in that a worker could not be reached."""
+    """Record that a worker could not be reached."""
     outage = fleet.outages.setdefault(worker.domain, DomainOutage())
     outage.unreached[worker.name] = now
     for name, at in list(outage.unreached.items()):
@@ -32,14 +34,14 @@
 
 
 def note_domain_reached(fleet: Fleet, worker: WorkerRow) -> None:
-    """Take in that a worker answers: its domain is there."""
+    """Record that a worker answered, so its domain is reachable."""
     fleet.outages.pop(worker.domain, None)
 
 
 def is_out_of_reach(fleet: Fleet, domain: DomainId, now: Millis) -> bool:
-    """Tell whether workers of other failure domains are to be tried first."""
+    """Return whether an outage makes a domain's workers the last choice."""
     outage = fleet.outages.get(domain)
     if outage is None:
         return False
-    fresh = sum(now - at < OUTAGE_MS for at in outage.unreached.values())
-    return fresh >= WORKERS_LEAST
+    recent_count = sum(now - at < OUTAGE_MS for at in outage.unreached.values())
+    return recent_count >= WORKERS_LEAST
--- a/src/spanshunt/systems/quarantining.py
+++ b/src/spanshunt/systems/quarantining.py
@@ -1,10 +1,10 @@
-"""Contents that are kept back, because workers end under them.
+"""Quarantine of request contents that are suspected of crashing workers.
 
 A worker that ends takes a dozen requests with it, of which one may be the cause. Each
-of them is suspected; one that a worker answers whole is not any more. What three
-workers ended under, with no whole answer in between, is sent to no worker of any box.
-While it is suspected it goes to workers that have no other suspect, so that fewer of
-them meet at the next end.
+of them becomes a suspect, and a complete answer from a worker clears it. A content
+during which three workers ended, with no complete answer in between, is quarantined: no
+box sends it to any worker. While a content is a suspect it goes to workers that process
+no other suspect, so that fewer suspects are at the same worker when it ends.
 """
 
 import typing as t
@@ -23,40 +23,43 @@
 from .blaming import live_peers
 
 ENDS_MOST = 3
-"""Workers that may end under one content: where workers end by themselves, two would
-keep many a sound request back, and a third costs one worker more."""
+"""Worker ends that quarantine a content. Where workers also end for other reasons, 2
+would quarantine many harmless requests; the third costs one more worker."""
 
 KEPT_MS = 3_600_000
-"""How long after the last end a content is kept back before it is tried once more, in
-ms: a worker an hour is what a cause that nobody mended costs."""
+"""How long after the last end a content stays quarantined before it is tried once more,
+in ms. A cause that nobody fixes thus costs one worker an hour."""
 
 FORGOTTEN_MS = 24 * 3_600_000
-"""How long after the last end a content is forgotten, in ms."""
+"""How long after the last change a quarantined content is forgotten, in ms."""
 
 SUSPECTED_MS = 600_000
-"""The same of one that is not kept back, in ms: callers that repeat come within it."""
+"""The same for a suspect that is not quarantined, in ms. Callers that repeat a request
+do so within this time."""
 
 SUSPECTS_MOST = 2_048
-"""Contents remembered at most, the longest unchanged forgotten first: under 2 MB."""
+"""Maximum number of suspects kept; the one unchanged for longest is evicted first. They
+take under 2 MB."""
 
 TOLD_MS = 3_000
-"""How long after a change others are told in each exchange, in ms: seven exchanges;
-one that missed them all sees that its list of those kept back differs."""
+"""How long after a change a suspect is sent to peers in each round of gossip, in ms:
+for seven rounds. A box that missed all of them detects that its digest differs."""
 
 TOLD_MOST, KEPT_TOLD_MOST = 24, 128
-"""Contents told in one exchange at most, and of those kept back to a box whose list
-differs; each takes some 100 bytes."""
+"""Maximum number of suspects in one message, and of quarantined contents sent to a box
+whose digest differs. Each takes some 100 bytes."""
 
 RECORD_AFTER_MS = 150
-"""How long after a content was kept back that is recorded, in ms: boxes that found it
-at once hear of each other meanwhile, and one of them records it."""
+"""Delay before a quarantine is recorded in the store, in ms. Boxes that quarantine a
+content at the same time learn of each other meanwhile, and one of them records it."""
 
 SOUND_MOST = 4_096
-"""Contents remembered that were answered whole: two minutes of a box's requests, in
-under 1 MB."""
+"""Maximum number of completely answered contents kept: two minutes of a box's requests,
+in under 1 MB."""
 
 _SAME_MS = 1_000
-"""Times of one event as two boxes tell it differ by less, in ms: what a call takes."""
+"""Times of one event reported by two boxes differ by less than this, in ms: the
+duration of a call."""
 
 
 def note_end_under(
@@ -66,7 +69,7 @@
     worker: WorkerRow,
     now: Millis,
 ) -> SuspectRequest:
-    """Take in that a worker ended while it had a content; return what is known."""
+    """Record that a worker ended while it processed a content; return its row."""
     row = fleet.suspect_requests.get(fingerprint)
     if row is None:
         row = fleet.suspect_requests[fingerprint] = SuspectRequest(
@@ -83,7 +86,7 @@
 
 
 def note_sound(fleet: Fleet, fingerprint: Fingerprint, at: Millis) -> None:
-    """Take in that a worker outlived a whole answer to a content."""
+    """Record that a worker completed an answer to a content and went on running."""
     fleet.last_completed.pop(fingerprint, None)
     fleet.last_completed[fingerprint] = at
     if len(fleet.last_completed) > SOUND_MOST:
@@ -94,15 +97,16 @@
     if not row.shared:
         del fleet.suspect_requests[fingerprint]
         return
-    # What is answered often is told now and then, not at each answer.
+    # A content that is answered often is sent to peers now and then, not each time.
     if row.counted_ends() or at > row.cleared_at + CLEARED_MS // 2:
         row.cleared_at = row.changed_at = at
 
 
 def release(fleet: Fleet, fingerprint: Fingerprint, at: Millis, now: Millis) -> None:
-    """Let a content go by an operator's word, given at `at`.
+    """Release a content by an operator's order, given at `at`.
 
-    It counts as well for one that is heard of later only. Ends after it count again.
+    The release also covers ends before it that this box learns of later. Ends after it
+    count again.
     """
     row = fleet.suspect_requests.setdefault(
         fingerprint, SuspectRequest(fingerprint, ServiceId(""), shared=True)
@@ -112,46 +116,46 @@
 
 
 def share(fleet: Fleet, fingerprint: Fingerprint, now: Millis) -> None:
-    """Let others know of a content whose try ended here without a whole answer."""
+    """Share a suspect whose attempts here ended without a complete answer."""
     row = fleet.suspect_requests.get(fingerprint)
     if row is not None and not row.shared:
         row.shared, row.changed_at = True, now
 
 
 def is_suspected(fleet: Fleet, fingerprint: Fingerprint) -> bool:
-    """Tell whether a worker ended under a content since it was last sound."""
+    """Return whether a worker ended during a content since it was last cleared."""
     row = fleet.suspect_requests.get(fingerprint)
     return row is not None and bool(row.counted_ends())
 
 
 def is_kept_back(row: SuspectRequest) -> bool:
-    """Tell whether a content is sent to no worker."""
+    """Return whether a content is quarantined: it is sent to no worker."""
     return len(row.ends) >= ENDS_MOST and len(row.counted_ends()) >= ENDS_MOST
 
 
 def kept_contents(fleet: Fleet) -> list[SuspectRequest]:
-    """Return the contents that are sent to no worker."""
+    """Return the quarantined contents."""
     return [row for row in fleet.suspect_requests.values() if is_kept_back(row)]
 
 
 def may_be_sent(
     fleet: Fleet, fingerprint: Fingerprint, now: Millis, *, under_way: bool
 ) -> bool:
-    """Tell whether a content may be sent to a worker now.
+    """Return whether a content may be sent to a worker now.
 
-    One that is kept back is tried again by one box, one try at a time, when its time is
-    over or no worker is left of a version that ended under it.
+    A quarantined content is tried again by one box, one attempt at a time, once its
+    time is over or no worker is left with a version that ended during it.
 
     Parameters
     ----------
     fleet : Fleet
         The tables.
     fingerprint : str
-        The content.
+        Fingerprint of the content.
     now : int
         The time, in ms.
     under_way : bool
-        Whether another request of this content is under way at this box.
+        Whether another request with this content is in progress at this box.
     """
     row = fleet.suspect_requests.get(fingerprint)
     if row is None or not is_kept_back(row):
@@ -161,7 +165,7 @@
 
 
 def _is_renewed(fleet: Fleet, row: SuspectRequest) -> bool:
-    """Tell whether the service has workers, and none of the versions that ended."""
+    """Return whether the service has workers, all without a version that ended."""
     workers = fleet.workers
     versions: set[VersionId] = set()
     for worker in workers.find_capable(row.service, None):
@@ -176,7 +180,7 @@
 
 
 def newly_kept(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
-    """Judge a content; tell whether it is to be kept back and was not before."""
+    """Update a content's quarantine; return whether it is newly quarantined."""
     if not is_kept_back(row):
         return False
     row.quarantined_by = row.quarantined_by or fleet.identity.box
@@ -187,41 +191,41 @@
     return new
 
 
-def take_suspect(fleet: Fleet, told: SuspectRequest, now: Millis) -> SuspectRequest:
-    """Take in what a peer or the store tells of a content; return what is known."""
-    row = fleet.suspect_requests.get(told.fingerprint)
+def take_suspect(fleet: Fleet, received: SuspectRequest, now: Millis) -> SuspectRequest:
+    """Merge a suspect from a peer or the store; return the resulting row."""
+    row = fleet.suspect_requests.get(received.fingerprint)
     if row is None:
-        row = fleet.suspect_requests[told.fingerprint] = SuspectRequest(
-            told.fingerprint,
-            told.service,
-            cleared_at=fleet.last_completed.get(told.fingerprint, Millis(-1)),
+        row = fleet.suspect_requests[received.fingerprint] = SuspectRequest(
+            received.fingerprint,
+            received.service,
+            cleared_at=fleet.last_completed.get(received.fingerprint, Millis(-1)),
             changed_at=now,
         )
         _make_room(fleet)
     before = (set(row.ends), row.recorded, row.quarantined_by)
-    # Times come with the age that the teller gave them: what is known stands.
-    row.ends = told.ends | row.ends
-    row.service = row.service or told.service
-    row.versions |= told.versions
-    row.recorded |= told.recorded
-    row.quarantined_by = _first(row.quarantined_by, told.quarantined_by)
-    newer = told.cleared_at > row.cleared_at + _SAME_MS
-    if newer:
-        row.cleared_at = told.cleared_at
+    # Reported times are derived from ages and inexact, so known times are kept.
+    row.ends = received.ends | row.ends
+    row.service = row.service or received.service
+    row.versions |= received.versions
+    row.recorded |= received.recorded
+    row.quarantined_by = _first(row.quarantined_by, received.quarantined_by)
+    cleared_later = received.cleared_at > row.cleared_at + _SAME_MS
+    if cleared_later:
+        row.cleared_at = received.cleared_at
     row.shared = True
-    if newer or before != (set(row.ends), row.recorded, row.quarantined_by):
+    if cleared_later or before != (set(row.ends), row.recorded, row.quarantined_by):
         row.changed_at = now
     return row
 
 
-def _first(one: BoxId, other: BoxId) -> BoxId:
-    return min(one, other) if one and other else one or other
+def _first(first: BoxId, second: BoxId) -> BoxId:
+    return min(first, second) if first and second else first or second
 
 
 def told_suspects(
-    fleet: Fleet, now: Millis, hearer_digest: int | None
+    fleet: Fleet, now: Millis, peer_digest: int | None
 ) -> list[SuspectRequest]:
-    """Return the contents to tell a peer.
+    """Return the suspects to send to a peer.
 
     Parameters
     ----------
@@ -229,30 +233,33 @@
         The tables.
     now : int
         The time, in ms.
-    hearer_digest : int or None
-        The hearer's :func:`kept_digest`; None where that is not known.
+    peer_digest : int or None
+        The receiving peer's :func:`kept_digest`; None if it is unknown.
     """
     shared = [row for row in fleet.suspect_requests.values() if row.shared]
-    fresh = [row for row in shared if now - row.changed_at <= TOLD_MS]
-    fresh.sort(key=lambda row: (-len(row.counted_ends()), -row.changed_at))
-    told = fresh[:TOLD_MOST]
-    if hearer_digest is not None and hearer_digest != kept_digest(fleet):
-        named = {row.fingerprint for row in told}
-        kept = [row for row in kept_contents(fleet) if row.fingerprint not in named]
-        told += kept[:KEPT_TOLD_MOST]
-    return told
+    recent = [row for row in shared if now - row.changed_at <= TOLD_MS]
+    recent.sort(key=lambda row: (-len(row.counted_ends()), -row.changed_at))
+    selected = recent[:TOLD_MOST]
+    if peer_digest is not None and peer_digest != kept_digest(fleet):
+        selected_names = {row.fingerprint for row in selected}
+        others = [
+            row for row in kept_contents(fleet) if row.fingerprint not in selected_names
+        ]
+        selected += others[:KEPT_TOLD_MOST]
+    return selected
 
 
 def kept_digest(fleet: Fleet) -> int:
-    """Return a number that is alike where the same contents are kept back."""
-    kept = sorted(row.fingerprint for row in kept_contents(fleet))
-    return zlib.crc32("\n".join(kept).encode()) if kept else 0
+    """Return a checksum that is equal at boxes with the same quarantined contents."""
+    fingerprints = sorted(row.fingerprint for row in kept_contents(fleet))
+    return zlib.crc32("\n".join(fingerprints).encode()) if fingerprints else 0
 
 
 def due_records(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
-    """Return the contents whose keeping back this box is to record now.
+    """Return the quarantined contents that this box must record in the store now.
 
-    The box that found it does; where that one is not heard, the first by name that is.
+    The box that quarantined a content records it. If that box is not heard, the first
+    by name of those that are does.
     """
     heard = live_peers(fleet, now)
     return [
@@ -266,9 +273,9 @@
 
 
 def due_drops(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
-    """Return the recorded contents that were found sound or let go since.
+    """Return the recorded contents that were cleared or released since.
 
-    A box that starts would keep them back by their record.
+    Without the removal of its record, a box that starts would quarantine them again.
     """
     heard = live_peers(fleet, now)
     return [
@@ -288,17 +295,19 @@
 
 
 def forget_suspects(fleet: Fleet, now: Millis) -> None:
-    """Drop the contents that nothing was learned of for long."""
-    kept = {row.fingerprint for row in kept_contents(fleet)}
-    for name, row in list(fleet.suspect_requests.items()):
-        if now - row.changed_at > (FORGOTTEN_MS if name in kept else SUSPECTED_MS):
-            del fleet.suspect_requests[name]
+    """Remove the suspects that did not change for long."""
+    quarantined = {row.fingerprint for row in kept_contents(fleet)}
+    for fingerprint, row in list(fleet.suspect_requests.items()):
+        if now - row.changed_at > (
+            FORGOTTEN_MS if fingerprint in quarantined else SUSPECTED_MS
+        ):
+            del fleet.suspect_requests[fingerprint]
 
 
 def _make_room(fleet: Fleet) -> None:
     while len(fleet.suspect_requests) > SUSPECTS_MOST:
         rows: t.Iterable[SuspectRequest] = fleet.suspect_requests.values()
-        least = min(
+        oldest = min(
             rows, key=lambda row: (len(row.counted_ends()) >= ENDS_MOST, row.changed_at)
         )
-        del fleet.suspect_requests[least.fingerprint]
+        del fleet.suspect_requests[oldest.fingerprint]
--- a/src/spanshunt/systems/repeats.py
+++ b/src/spanshunt/systems/repeats.py
@@ -1,10 +1,9 @@
-"""The budget of repeats: each box keeps to its own share, so that all keep to the
-whole.
+"""Retry budget: each box keeps to its share, so that all boxes keep to the total.
 
-A service may get, in any window of some seconds, more arrivals beyond the first of each
-request than a ratio of its requests plus a slack, summed over all boxes. A box that
-repeats at most that ratio of its own requests, plus its part of the slack, needs to
-hear nothing of the others.
+A service may get, in any window of some seconds, at most a ratio of its requests plus a
+slack as repeated arrivals, i.e. arrivals beyond the first of each request, summed over
+all boxes. A box that repeats at most that ratio of its own requests, plus its part of
+the slack, needs no information from the other boxes.
 """
 
 import msgspec
@@ -16,11 +15,11 @@
 from ..tables.fleet import TrafficSecond
 
 RATIO_USED = 0.85
-"""Part of the allowed ratio that is used: the rest covers requests that a box counted
-and whose service another catalog version names differently."""
+"""Part of the allowed ratio that is used. The rest covers requests that a box counted
+for a service which another catalog version names differently."""
 
 SLACK_USED = 0.6
-"""Part of the slack that is shared out: a box that restarts begins with a fresh
+"""Part of the slack that is shared out, as a box that restarts begins with a new
 share."""
 
 CHOICE_PART = 0.8
@@ -29,18 +28,18 @@
 
 
 class RepeatBounds(msgspec.Struct, frozen=True):
-    """What all boxes together may repeat.
+    """Bounds of the repeats of all boxes together.
 
     Attributes
     ----------
     ratio : float
         Repeats for each request in the window.
     slack : float
-        Repeats in the window beyond those.
+        Repeats in the window in addition to those.
     window_s : int
         Length of the window, in s.
     least_boxes : int
-        Boxes that the slack is shared by at least, while few peers are known.
+        Minimum number of boxes that share the slack, used while few peers are known.
     """
 
     ratio: float = 0.2
@@ -50,7 +49,7 @@
 
 
 class Allowance(msgspec.Struct, frozen=True):
-    """Requests and repeats of a service in the window, and repeats that are allowed."""
+    """Numbers of requests, repeats and allowed repeats of a service in the window."""
 
     requests: int
     repeats: int
@@ -68,7 +67,7 @@
 
 
 def take_back_repeat(fleet: Fleet, service: ServiceId, at: Millis) -> None:
-    """Take back an arrival counted at `at` that reached no worker after all."""
+    """Uncount an arrival counted at `at` that did not reach a worker."""
     for second in fleet.traffic[service].seconds:
         if second.number == at // 1_000:
             second.repeats -= 1
@@ -82,29 +81,30 @@
     *,
     for_quality: bool,
 ) -> bool:
-    """Tell whether the budget allows one more arrival now.
+    """Return whether the budget allows one more repeat now.
 
-    Repeats for quality stop at a part of the budget, so that failures find some left.
+    Repeats for quality stop at a part of the budget, so that the rest is left for
+    failures.
     """
     if service not in fleet.traffic:
         return True
-    window = allowance(fleet, service, now, bounds)
-    part = CHOICE_PART if for_quality else 1.0
-    return window.repeats + 1 <= part * window.allowed
+    used = allowance(fleet, service, now, bounds)
+    share = CHOICE_PART if for_quality else 1.0
+    return used.repeats + 1 <= share * used.allowed
 
 
 def allowance(
     fleet: Fleet, service: ServiceId, now: Millis, bounds: RepeatBounds
 ) -> Allowance:
-    """Return what this box did for `service` in the window, and what it may repeat."""
+    """Return this box's requests and repeats of `service`, and the allowed ones."""
     oldest = now // 1_000 - bounds.window_s
     traffic = fleet.traffic.get(service, Traffic())
-    recent = [row for row in traffic.seconds if row.number >= oldest]
-    requests = sum(row.requests for row in recent)
+    recent = [second for second in traffic.seconds if second.number >= oldest]
+    requests = sum(second.requests for second in recent)
     boxes = max(bounds.least_boxes, len(fleet.peers) + 1)
     return Allowance(
         requests=requests,
-        repeats=sum(row.repeats for row in recent),
+        repeats=sum(second.repeats for second in recent),
         allowed=RATIO_USED * bounds.ratio * requests
         + SLACK_USED * bounds.slack / boxes,
     )
--- a/src/spanshunt/systems/resting.py
+++ b/src/spanshunt/systems/resting.py
@@ -1,6 +1,7 @@
-"""Workers that turned this box away and asked it for rest: they get nothing meanwhile.
+"""Rest periods: a worker that rejects a request may ask for a pause with Retry-After.
 
-A rest is between one box and one life of a worker; other boxes ask for themselves.
+A rest period holds between one box and one incarnation of a worker; every other box
+learns of its own from the worker.
 """
 
 from ..ids import Millis
@@ -9,9 +10,9 @@
 
 
 def note_rest(row: WorkerRow, rest_ms: Millis, now: Millis) -> bool:
-    """Take in that a worker asks for rest; return whether it gets more than before.
+    """Record a rest that a worker asks for; return whether this extends its rest.
 
-    The longest rest holds: a shorter one that is asked for later takes nothing back.
+    The longest rest holds: a shorter one that is asked for later does not shorten it.
     """
     until = Millis(now + rest_ms)
     if row.rest is not None and row.rest.until >= until:
@@ -21,5 +22,5 @@
 
 
 def rest_left_ms(row: WorkerRow, now: Millis) -> Millis:
-    """Return how much longer a worker rests, in ms; 0 if it does not."""
+    """Return the remaining rest of a worker, in ms; 0 if it does not rest."""
     return Millis(0 if row.rest is None else max(0, row.rest.until - now))
--- a/src/spanshunt/systems/throttling.py
+++ b/src/spanshunt/systems/throttling.py
@@ -1,9 +1,9 @@
-"""Workers in need: the requests a second that each takes from all boxes together.
+"""Rate limits that workers announce for the requests of all boxes together.
 
-Boxes share such a rate without a word. Each may send to the worker once in a period,
-which is the longer the more boxes there are, and they take turns in it: a grant opens
-at each box at another time. One that is not used ends soon, so that those which boxes
-left unused are never used all at once.
+Boxes share such a rate without communication. Each box gets one grant in every period,
+and the period grows with the number of boxes. The phase of the grants differs from box
+to box. An unused grant expires soon, so that grants that several boxes left unused are
+never used all at once.
 """
 
 import math
@@ -22,45 +22,46 @@
 from .fleet_size import stagger_fraction
 
 GRANTED_PART = 0.9
-"""Part of the rate that boxes share out. The rest is for boxes which disagree on how
-many there are, or learned of the limit at different times."""
+"""Part of the rate that boxes share out. The rest is a reserve for boxes that disagree
+on the number of boxes, or learn of the limit at different times."""
 
 GRANT_MS = 1_500
-"""How long a grant may be used, in ms: what opens in 4 s, and so long before them, is
-5.5 s worth of the rate. A worker bears 6 s worth in 4 s, and five requests."""
+"""How long a grant is valid, in ms. Grants of 4 s, and those still valid from before,
+amount to 5.5 s of the rate. A worker tolerates 6 s of its rate, and five requests, in
+4 s."""
 
 LEAST_PER_S = 0.25
-"""Requests a second that a worker gets which takes fewer, or none at all: else nobody
-would learn that it takes more again."""
+"""Requests a second that boxes send at least, even if the worker takes fewer or none.
+Otherwise no box would learn that it takes more again."""
 
 YOUNG_MS = 500
-"""How long a grant is left to eager requests, in ms: where one is still there after
-that, grants are not short."""
+"""How long a grant is reserved for eager requests, in ms. A grant that is still unused
+after that shows that grants are not scarce."""
 
 WORDS_TOLD = 16
-"""Workers' limits told in one exchange at most, the newest first."""
+"""Maximum number of limits sent in one message to a peer, newest first."""
 
 END_TOLD_MS = 5_000
-"""How long boxes tell each other that a worker names no limit any more, in ms: all of
-them hear of it within a few rounds of exchanges."""
+"""How long boxes tell each other that a worker no longer names a limit, in ms. All of
+them learn it within a few rounds of gossip."""
 
 
 class HeardLimit(msgspec.Struct, frozen=True):
-    """A worker's word on its rate that this box knows."""
+    """A worker and the newest rate limit that this box knows for it."""
 
     worker: WorkerRow
     limit: RateLimit
 
 
 def is_limited(row: WorkerRow) -> bool:
-    """Tell whether a worker names a limit."""
+    """Return whether a worker currently names a rate limit."""
     return row.limit is not None and row.limit.per_s is not None
 
 
 def take_limit(fleet: Fleet, row: WorkerRow, limit: RateLimit, now: Millis) -> bool:
-    """Take a worker's word in unless a newer one is known; return whether it changes.
+    """Apply a limit unless a newer one is known; return whether the rate changes.
 
-    That a worker names no limit tells something only where it did name one.
+    The absence of a limit is recorded only for a worker that has named one.
     """
     known = row.limit
     if known is None and limit.per_s is None:
@@ -76,62 +77,64 @@
 
 
 def is_over(row: WorkerRow, sent: Millis) -> bool:
-    """Tell whether an answer without a limit ends the one known.
+    """Return whether an answer without a limit revokes the known one.
 
-    An answer to a request that was sent before that limit was heard may be older.
+    The answer to a request that was sent before that limit arrived may be older than
+    the limit.
     """
     known = row.limit
     return known is not None and known.per_s is not None and sent > known.at
 
 
 def forget_limit(row: WorkerRow, now: Millis) -> None:
-    """Drop what a life of a worker said that has ended; what is told of it is older."""
+    """Clear the limit of a worker that ended, and ignore older reports of it."""
     row.limit = row.rate_limiter = None
     row.notices_since = now
 
 
 def has_limits(fleet: Fleet, service: ServiceId) -> bool:
-    """Tell whether any worker of a service names a limit."""
+    """Return whether any worker of a service names a rate limit."""
     return any(is_limited(row) for row in fleet.workers.find_capable(service, None))
 
 
 def grant_wait_ms(fleet: Fleet, row: WorkerRow, now: Millis, *, eager: bool) -> Millis:
-    """Return in how long this box may send a limited worker a request, in ms."""
+    """Return how long this box must wait before it sends to a limited worker, in ms."""
     limit = row.limit
     assert limit is not None
     assert limit.per_s is not None
-    grants = _refresh(fleet, row, limit.per_s, now)
-    opens_at = grants.next_grant_at
+    limiter = _refresh(fleet, row, limit.per_s, now)
+    grant_at = limiter.next_grant_at
     if not is_discovery_finished(fleet, now):
-        opens_at = max(opens_at, fleet.discovery_until)
-    wait_ms = 0 if eager else YOUNG_MS
-    return Millis(math.ceil(max(0.0, opens_at + wait_ms - now)))
+        grant_at = max(grant_at, fleet.discovery_until)
+    reserved_ms = 0 if eager else YOUNG_MS
+    return Millis(math.ceil(max(0.0, grant_at + reserved_ms - now)))
 
 
 def note_sent(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
-    """Take in that this box sends a worker a request: it uses the oldest grant."""
+    """Use up the oldest grant for a request that this box sends to a worker."""
     if row.limit is not None and row.limit.per_s is not None:
-        grants = _refresh(fleet, row, row.limit.per_s, now)
-        grants.next_grant_at += grants.period_ms
+        limiter = _refresh(fleet, row, row.limit.per_s, now)
+        limiter.next_grant_at += limiter.period_ms
 
 
 def newest_limits(fleet: Fleet, now: Millis) -> list[HeardLimit]:
-    """Return the newest limits to tell other boxes, and those that ended just now."""
-    heard = [
+    """Return the newest limits to send to peers, and those revoked recently."""
+    limits = [
         HeardLimit(row, row.limit)
         for row in fleet.workers.rows.values()
         if row.limit is not None
         and (row.limit.per_s is not None or now - row.limit.at < END_TOLD_MS)
     ]
-    return sorted(heard, key=lambda item: -item.limit.at)[:WORDS_TOLD]
+    return sorted(limits, key=lambda known: -known.limit.at)[:WORDS_TOLD]
 
 
 def take_told_limit(
     fleet: Fleet, worker: WorkerId, born: Millis, limit: RateLimit, now: Millis
 ) -> WorkerRow | None:
-    """Take in a worker's word that a peer tells; return its row if that changes.
+    """Apply a limit that a peer reports; return the worker's row if its rate changes.
 
-    A word on another life of the worker, or on one that has ended, tells nothing.
+    A limit of another incarnation of the worker is ignored, and so is one of an
+    incarnation that has ended.
     """
     row = fleet.workers.rows.get(worker)
     if row is None or row.born != born or limit.at < row.notices_since:
@@ -140,19 +143,19 @@
 
 
 def _refresh(fleet: Fleet, row: WorkerRow, per_s: float, now: Millis) -> RateLimiter:
-    """Return this box's grants at a worker as of now, for the rate and boxes of now."""
+    """Return a worker's limiter, updated for this time, rate and number of boxes."""
     rate = GRANTED_PART * max(LEAST_PER_S, per_s)
     period_ms = 1_000 * box_count(fleet) / rate
-    grants = row.rate_limiter
-    if grants is None:
-        opens_at = now + stagger_fraction(fleet, f"limit {row.name}") * period_ms
-        grants = row.rate_limiter = RateLimiter(opens_at, period_ms)
-    if grants.period_ms != period_ms:
-        # A grant that is not open yet keeps its place among those of the others.
-        left_ms = max(0.0, grants.next_grant_at - now)
-        grants.next_grant_at += left_ms * (period_ms / grants.period_ms - 1)
-        grants.period_ms = period_ms
-    unused_ms = now - GRANT_MS - grants.next_grant_at
-    if unused_ms > 0:
-        grants.next_grant_at += math.ceil(unused_ms / period_ms) * period_ms
-    return grants
+    limiter = row.rate_limiter
+    if limiter is None:
+        grant_at = now + stagger_fraction(fleet, f"limit {row.name}") * period_ms
+        limiter = row.rate_limiter = RateLimiter(grant_at, period_ms)
+    if limiter.period_ms != period_ms:
+        # A future grant keeps its phase relative to the grants of other boxes.
+        remaining_ms = max(0.0, limiter.next_grant_at - now)
+        limiter.next_grant_at += remaining_ms * (period_ms / limiter.period_ms - 1)
+        limiter.period_ms = period_ms
+    expired_ms = now - GRANT_MS - limiter.next_grant_at
+    if expired_ms > 0:
+        limiter.next_grant_at += math.ceil(expired_ms / period_ms) * period_ms
+    return limiter
--- a/src/spanshunt/systems/timing.py
+++ b/src/spanshunt/systems/timing.py
@@ -1,4 +1,4 @@
-"""How long is long: limits of waiting that follow what answers usually take."""
+"""Timeouts for the first byte and for gaps, based on the usual times of answers."""
 
 from ..ids import Millis
 from ..ids import ModelId
@@ -8,29 +8,30 @@
 from ..tables.workers import WorkerRow
 
 FIRST_FACTOR = 5.0
-"""A first byte later than this many times its usual time is not waited for, where the
-request may be sent elsewhere. Within a batch, times vary by about three."""
+"""Multiple of the usual time to the first byte after which a request is sent elsewhere,
+if that is possible. Within a batch, times vary by a factor of about three."""
 
 FIRST_AIM_PART = 0.55
-"""A first byte is waited for at least this part of the route's aim: what is left must
-suffice for the answer from elsewhere."""
+"""The first byte is awaited for at least this part of the route's target latency. The
+rest must be enough for an answer from elsewhere."""
 
 UNKNOWN_AIM_PART = 1.2
-"""A first byte is waited for this part of the aim where nothing is known of its usual
-time: after a restart of all boxes, engines are busy with what callers ask again."""
+"""The first byte is awaited for this part of the target latency if no usual time is
+known. After a restart of all boxes, engines are busy with requests that callers
+repeat."""
 
 GAP_LEAST_MS = 950
-"""A shorter silence in a stream is not taken for a stall, in ms: an engine that reads
-long prompts between the tokens of others takes nearly as long for an event, and what is
-taken up elsewhere is read again there."""
+"""A shorter gap in a stream is not treated as a stall, in ms. An engine that prefills
+long prompts between the tokens of others takes nearly as long for an event, and a
+stream that is resumed elsewhere is prefilled again there."""
 
 ALIVE_MS = 400
-"""A worker that sent bytes on any request within this time is alive, in ms: what it
-owes is waited for longer, as it is more likely busy than stuck."""
+"""A worker that sent bytes on any request within this time is alive, in ms. Its pending
+answers are awaited for longer, as it is more likely busy than stuck."""
 
 ALIVE_FACTOR = 2.5
-"""How many times longer a worker that is alive is waited for: asking elsewhere sooner
-adds to the load of engines that are merely busy."""
+"""Factor by which timeouts are longer for a worker that is alive. Asking elsewhere
+sooner adds to the load of engines that are merely busy."""
 
 SLOW_FACTOR = 3.0
 """An answer counts as slow if its first byte took this many times the usual time."""
@@ -42,7 +43,7 @@
 
 
 def first_limit_ms(fleet: Fleet, route: RouteRow, model: ModelId, read: int) -> float:
-    """Return how long to wait for a first byte of a silent worker, in ms."""
+    """Return how long to wait for the first byte of a silent worker, in ms."""
     usual = usual_first_ms(fleet, route, model, read)
     if usual <= 0.0:
         return UNKNOWN_AIM_PART * route.target_latency_ms
@@ -50,14 +51,14 @@
 
 
 def gap_limit_ms(route: RouteRow) -> float:
-    """Return how long a stream of a silent worker is waited for, in ms."""
+    """Return how long to wait for the next bytes of a silent worker's stream, in ms."""
     return max(
         GAP_LEAST_MS, FIRST_AIM_PART * (route.target_gap_ms or route.target_latency_ms)
     )
 
 
 def is_alive(worker: WorkerRow, now: Millis) -> bool:
-    """Tell whether a worker sent bytes on any request just now."""
+    """Return whether a worker sent bytes on any request recently."""
     return now - worker.last_byte_at < ALIVE_MS
 
 
@@ -72,7 +73,7 @@
 def is_slow(
     fleet: Fleet, route: RouteRow, model: ModelId, read: int, first_ms: float
 ) -> bool:
-    """Tell whether an answer was several times slower than usual."""
+    """Return whether the first byte of an answer was much slower than usual."""
     usual = usual_first_ms(fleet, route, model, read)
     return usual > 0.0 and first_ms > max(SLOW_LEAST_MS, SLOW_FACTOR * usual)
 
@@ -80,10 +81,10 @@
 def note_first_time(
     fleet: Fleet, route: RouteRow, model: ModelId, read: int, first_ms: float
 ) -> None:
-    """Take a time to the first byte into the route's means.
+    """Update the route's means with a time to the first byte.
 
-    A slow answer counts as the bound of slowness, so that a version that turns slow
-    does not make slowness usual at once.
+    A slow answer counts as if its time were the slowness bound, so that a version that
+    becomes slow does not make slowness usual at once.
     """
     key = (route.name, model)
     usual = fleet.first_byte_times.get(key)
--- a/src/spanshunt/systems/worker_health.py
+++ b/src/spanshunt/systems/worker_health.py
@@ -1,4 +1,4 @@
-"""What answers tell of a worker: its load, its failures, and when to leave it out."""
+"""Health of a worker, from its load reports and answers, and its ejection."""
 
 import msgspec
 
@@ -6,24 +6,22 @@
 from ..tables.workers import WorkerRow
 
 SUSPECT_MS = 600
-"""How long a worker is left out after it could not be reached, in ms; doubled with each
-further failure. Short, because a worker that is back must get work again."""
+"""First ejection of a worker that can't be reached, in ms; doubled with each further
+failure. It is short because a worker that is back must get requests again."""
 
 SUSPECT_MAX_MS = 5_000
-"""Longest time that a worker is left out for, in ms."""
+"""Longest ejection of a worker, in ms."""
 
 STREAK = 3
-"""Failed answers in a row that leave a worker out, when none of them was a failure to
-reach it: a worker's own failures may be the request's fault."""
+"""Consecutive failed answers after which a worker is ejected, if it was reachable each
+time. One such failure may be the request's fault."""
 
 _ERROR_SMOOTHING = 0.15
-
-
 _TIME_SMOOTHING = 0.2
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What a worker says of its load: requests running, waiting, and its slots."""
+    """Load that a worker reports: running and waiting requests, and its slots."""
 
     running: int
     waiting: int
@@ -31,7 +29,7 @@
 
 
 def note_load(row: WorkerRow, load: Load, now: Millis) -> None:
-    """Take a worker's own word of its load into its row."""
+    """Record a load report of a worker."""
     row.reported = load.running + load.waiting
     row.queued = load.waiting
     row.own_inflight_at_report = row.inflight
@@ -40,16 +38,16 @@
 
 
 def note_answer(row: WorkerRow, first_ms: float, *, good: bool, now: Millis) -> None:
-    """Take an answer into the row: its time to the first byte, and whether it failed.
+    """Record the outcome of an answer and its time to the first byte.
 
-    A worker whose answers fail one after the other is left out for a while.
+    A worker with too many consecutive failures is ejected for a while.
     """
     row.error_rate += _ERROR_SMOOTHING * ((0.0 if good else 1.0) - row.error_rate)
     if good:
         row.failures = 0
         row.ejected_until = Millis(0)
-        before = row.ttft_ms or first_ms
-        row.ttft_ms = before + _TIME_SMOOTHING * (first_ms - before)
+        mean = row.ttft_ms or first_ms
+        row.ttft_ms = mean + _TIME_SMOOTHING * (first_ms - mean)
         return
     row.failures += 1
     if row.failures >= STREAK:
@@ -57,7 +55,7 @@
 
 
 def note_unreached(row: WorkerRow, now: Millis) -> None:
-    """Leave a worker out for a while that could not be reached or fell silent."""
+    """Eject a worker for a while that can't be reached or stopped responding."""
     row.failures += 1
     _leave_out(row, now)
 
