--- a/bench/play_engines.py
+++ b/bench/play_engines.py
@@ -18,7 +18,7 @@
 from spanshunt.ports import Dispatch
 from spanshunt.ports import SendFault
 from spanshunt.ports import TruncatedAnswerError
-from spanshunt.systems.worker_health import Load
+from spanshunt.systems.worker_health import WorkerLoad
 from spanshunt.tables.notices import Notice
 
 PACES = {"small": 0.3, "middle": 0.8, "large": 3.0}
@@ -183,7 +183,7 @@
     replaced = False
     defect = ""
     confidence: float | None = None
-    load: Load | None = None
+    load: WorkerLoad | None = None
 
     def __init__(self, notice: Notice) -> None:
         self.headers: CIMultiDict[str] = CIMultiDict()
@@ -215,7 +215,7 @@
         self.headers: CIMultiDict[str] = CIMultiDict()
         low, high = SURENESS[dispatch.model]
         self.confidence: float | None = engine.rng.uniform(low, high)
-        self.load: Load | None = Load(engine.running, 0, 128)
+        self.load: WorkerLoad | None = WorkerLoad(engine.running, 0, 128)
         self.notice = engine.notice()
         self._engine = engine
         self._model = dispatch.model
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -48,7 +48,7 @@
 from spanshunt.systems.journaling import record_bill
 from spanshunt.systems.learning import record_counts
 from spanshunt.systems.limiting import admit
-from spanshunt.systems.limiting import tick_usage
+from spanshunt.systems.limiting import update_usage
 from spanshunt.systems.worker_choice import eligible_workers
 from spanshunt.systems.worker_choice import end_ejections
 from spanshunt.systems.worker_choice import least_loaded_picker
@@ -303,7 +303,9 @@
             Point(
                 size,
                 timed(
-                    lambda s=state, b=limits: tick_usage(s.usage, b, 6, Millis(1), 100),
+                    lambda s=state, b=limits: update_usage(
+                        s.usage, b, 6, Millis(1), 100
+                    ),
                     51,
                 ),
             )
--- a/bench/soak_processes.py
+++ b/bench/soak_processes.py
@@ -69,7 +69,7 @@
         "systems/following_workers.py", "if item.draining and", "if False and"
     ),
     "limit": Mutation(
-        "systems/throttling.py", "GRANTED_PART = 0.9", "GRANTED_PART = 90.0"
+        "systems/throttling.py", "GRANTED_SHARE = 0.9", "GRANTED_SHARE = 90.0"
     ),
     "said to leave": Mutation(
         "worker_notices.py", "if found.notice.leaving:", "if False:"
@@ -89,7 +89,7 @@
         "systems/blaming.py", "EVIDENCE_THRESHOLD = 5.0", "EVIDENCE_THRESHOLD = 1e9"
     ),
     "kept back": Mutation(
-        "systems/quarantining.py", "ENDS_MOST = 3", "ENDS_MOST = 1_000"
+        "systems/quarantining.py", "QUARANTINE_ENDS = 3", "QUARANTINE_ENDS = 1_000"
     ),
     "emptied": Mutation(
         "systems/evacuating.py", "for row in rows if row.active", "for row in ()"
--- a/src/spanshunt/admission.py
+++ b/src/spanshunt/admission.py
@@ -21,7 +21,7 @@
 from .router import Router
 from .session_tokens import SessionToken
 from .systems.choice_rows import VersionRequest
-from .systems.limiting import OverLimit
+from .systems.limiting import LimitKind
 from .systems.limiting import admit
 from .tables.config import Config
 from .tables.config import OrgRow
@@ -143,9 +143,9 @@
         router.running.add(request)
         return Ok(None)
     details = {
-        OverLimit.RATE: f"over {org.limits.rate:g} requests a second",
-        OverLimit.CONCURRENCY: f"over {org.limits.concurrency} requests at once",
-        OverLimit.BUDGET: f"over the day's budget of {org.limits.budget}",
+        LimitKind.RATE: f"over {org.limits.rate:g} requests a second",
+        LimitKind.CONCURRENCY: f"over {org.limits.concurrency} requests at once",
+        LimitKind.BUDGET: f"over the day's budget of {org.limits.budget}",
     }
     detail = f"organisation {org.name}: {details[refused.limit]}"
     return Err(Refusal(Problem.OVER_LIMIT, detail, retry_ms=refused.retry_ms))
--- a/src/spanshunt/attempt_outcomes.py
+++ b/src/spanshunt/attempt_outcomes.py
@@ -14,25 +14,25 @@
 from .ports import TruncatedAnswerError
 from .systems.estimating import prefill_speed
 from .systems.estimating import record_first_event
-from .systems.outages import note_domain_unreached
-from .systems.pacing import is_slow_writing
-from .systems.pacing import note_pace
-from .systems.pacing import tells_pace
-from .systems.quarantining import note_sound
-from .systems.repeats import take_back_repeat
-from .systems.silence import Silence
-from .systems.silence import note_silence
+from .systems.outages import add_to_outage
+from .systems.pacing import has_enough_gaps
+from .systems.pacing import is_slow_decode
+from .systems.pacing import learn_decode_speed
+from .systems.quarantining import record_complete_answer
+from .systems.repeats import uncount_repeat
+from .systems.silence import SilenceReport
+from .systems.silence import record_silence
 from .systems.tallies import BEGAN
 from .systems.tallies import FAILED
 from .systems.tallies import IN_TIME
 from .systems.tallies import SILENT
 from .systems.tallies import SLOW
 from .systems.tallies import record_observation
-from .systems.timing import is_slow
-from .systems.timing import note_first_time
-from .systems.warming import note_started
-from .systems.worker_health import note_answer
-from .systems.worker_health import note_unreached
+from .systems.timing import is_slow_first_byte
+from .systems.timing import learn_first_byte_time
+from .systems.warming import mark_cold
+from .systems.worker_health import record_answer
+from .systems.worker_health import record_unreachable
 from .tables.catalog import RequestKind
 from .tables.rollouts import Tally
 
@@ -46,12 +46,12 @@
     if fault.refused:
         take_end(core, attempt.worker, "connection refused")
     if not fault.stale:
-        note_unreached(attempt.worker, now)
+        record_unreachable(attempt.worker, now)
     if fault.unreached:
-        note_started(core.fleet, attempt.worker, now)
-        note_domain_unreached(core.fleet, attempt.worker, now)
+        mark_cold(core.fleet, attempt.worker, now)
+        add_to_outage(core.fleet, attempt.worker, now)
     if fault.unreached and attempt.repeat:
-        take_back_repeat(core.fleet, attempt.service, Millis(attempt.sent))
+        uncount_repeat(core.fleet, attempt.service, Millis(attempt.sent))
     if fault.silent:
         _report_silence(core, state, attempt)
     elif fault.unreached and not fault.refused:
@@ -77,7 +77,7 @@
 def note_silent(core: Core, state: CatalogRequest, attempt: CatalogAttempt) -> None:
     """Leave a worker out that is silent for too long; its answer is waited for."""
     now = core.clock.now()
-    note_unreached(attempt.worker, now)
+    record_unreachable(attempt.worker, now)
     _report_silence(core, state, attempt)
     log_event(
         "WARNING",
@@ -94,7 +94,9 @@
     if state.admitted.route.kind is RequestKind.STREAM:
         return
     fleet, now = core.fleet, core.clock.now()
-    note_silence(fleet, Silence(attempt.worker.name, fleet.identity.box, now), now)
+    record_silence(
+        fleet, SilenceReport(attempt.worker.name, fleet.identity.box, now), now
+    )
 
 
 def _report_unreached(core: Core, attempt: CatalogAttempt) -> None:
@@ -104,7 +106,9 @@
     """
     fleet, now = core.fleet, core.clock.now()
     if any(row.last_byte_at >= attempt.sent for row in fleet.workers.rows.values()):
-        note_silence(fleet, Silence(attempt.worker.name, fleet.identity.box, now), now)
+        record_silence(
+            fleet, SilenceReport(attempt.worker.name, fleet.identity.box, now), now
+        )
         core.tell_now()
 
 
@@ -117,9 +121,9 @@
     if attempt.prompt is not None:
         _note_first_event(core, state, attempt, first_ms)
     _count(core, state, attempt, BEGAN)
-    if is_slow(fleet, route, attempt.model, read, first_ms):
+    if is_slow_first_byte(fleet, route, attempt.model, read, first_ms):
         _note_slow(core, state, attempt)
-    note_first_time(fleet, route, attempt.model, read, first_ms)
+    learn_first_byte_time(fleet, route, attempt.model, read, first_ms)
 
 
 def note_events(
@@ -142,7 +146,7 @@
 def _writes_slowly(core: Core, attempt: CatalogAttempt, *, whole: bool) -> bool:
     """Tell whether a stream is written several times slower than usual."""
     elapsed = core.clock.now() - attempt.first_at
-    return attempt.first_at >= 0 and is_slow_writing(
+    return attempt.first_at >= 0 and is_slow_decode(
         core.fleet,
         attempt.service,
         attempt.model,
@@ -189,8 +193,8 @@
 ) -> None:
     """Take in a whole answer."""
     now = core.clock.now()
-    note_sound(core.fleet, state.fingerprint, now)
-    note_answer(attempt.worker, first_ms, good=True, now=now)
+    record_complete_answer(core.fleet, state.fingerprint, now)
+    record_answer(attempt.worker, first_ms, good=True, now=now)
     if _writes_slowly(core, attempt, whole=True):
         _note_slow(core, state, attempt)
     elif not attempt.slow and _is_timed(core, attempt):
@@ -211,15 +215,17 @@
     if attempt.first_at < 0:
         return True
     known = (attempt.service, attempt.model) in core.fleet.decode_speeds
-    return known and tells_pace(attempt.gaps)
+    return known and has_enough_gaps(attempt.gaps)
 
 
 def _note_pace(core: Core, attempt: CatalogAttempt, now: int) -> None:
     """Take in how fast a whole answer was written, if it tells."""
-    if attempt.first_at < 0 or not tells_pace(attempt.gaps):
+    if attempt.first_at < 0 or not has_enough_gaps(attempt.gaps):
         return
     gap_ms = (now - attempt.first_at) / attempt.gaps
-    note_pace(core.fleet, attempt.service, attempt.model, attempt.worker, gap_ms)
+    learn_decode_speed(
+        core.fleet, attempt.service, attempt.model, attempt.worker, gap_ms
+    )
 
 
 def note_bad(
@@ -230,7 +236,7 @@
     silent = isinstance(exc, SilentWorkerError)
     attempt.broke = isinstance(exc, TruncatedAnswerError)
     state.failed_versions |= attempt.worker.versions
-    note_answer(attempt.worker, 0.0, good=False, now=now)
+    record_answer(attempt.worker, 0.0, good=False, now=now)
     if silent:
         _note_slow(core, state, attempt)
     else:
--- a/src/spanshunt/break_causes.py
+++ b/src/spanshunt/break_causes.py
@@ -5,10 +5,10 @@
 from .catalog_state import Core
 from .keeping_back import keep_back
 from .logs import log_event
-from .systems.ending import note_break
-from .systems.ending import note_end
-from .systems.quarantining import newly_kept
-from .systems.quarantining import note_end_under
+from .systems.ending import record_broken_connection
+from .systems.ending import record_worker_end
+from .systems.quarantining import record_end_during
+from .systems.quarantining import update_quarantine
 from .tables.suspects import BrokenConnection
 from .tables.workers import WorkerRow
 from .worker_probes import Presence
@@ -24,7 +24,7 @@
     worker = attempt.worker
     now = core.clock.now()
     broke = BrokenConnection(state.fingerprint, attempt.service, now)
-    note_break(core.fleet, worker, broke)
+    record_broken_connection(core.fleet, worker, broke)
     if worker.ended_at >= attempt.sent:
         take_end(core, worker, "known before")
     elif await core.probe(worker) is Presence.GONE:
@@ -37,7 +37,7 @@
     """Take in that a worker has ended, and hold it against what it had."""
     fleet, now = core.fleet, core.clock.now()
     known = worker.ended_at >= 0
-    aboard = note_end(fleet, worker, now)
+    aboard = record_worker_end(fleet, worker, now)
     if known and not aboard:
         return
     core.count("worker_ends")
@@ -51,9 +51,9 @@
         fingerprints=sorted(contents)[:FINGERPRINTS_SHOWN],
     )
     rows = [
-        note_end_under(fleet, content, service, worker, now)
+        record_end_during(fleet, content, service, worker, now)
         for content, service in contents.items()
     ]
     for row in rows:
-        if newly_kept(fleet, row, now):
+        if update_quarantine(fleet, row, now):
             keep_back(core, row, "own evidence")
--- a/src/spanshunt/callers.py
+++ b/src/spanshunt/callers.py
@@ -35,7 +35,7 @@
 from .refusals import Problem
 from .refusals import Refusal
 from .router import Router
-from .systems.limiting import finish
+from .systems.limiting import finish_request
 from .tables.config import OrgRow
 from .tables.config import ServiceKind
 from .tables.config import VersionState
@@ -188,7 +188,7 @@
             router.running.discard(request)
             cost = router.bills.take_cost(request)
             wall = router.clock.wall()
-            finish(router.state.usage, OrgId(org.name), Micros(cost), wall)
+            finish_request(router.state.usage, OrgId(org.name), Micros(cost), wall)
         # Without a response the connection is closing: the library drops this one.
         return reply.response or web.Response(status=Problem.BACKEND_FAILED.status)
 
--- a/src/spanshunt/catalog_calls.py
+++ b/src/spanshunt/catalog_calls.py
@@ -40,23 +40,23 @@
 from .request_state import WorkerFailure
 from .systems.admitting import Admission
 from .systems.cascading import record_lateness
-from .systems.ending import note_return
+from .systems.ending import record_worker_return
 from .systems.estimating import record_sent_prompt
 from .systems.estimating import urgency_of
 from .systems.following_workers import mark_replaced
-from .systems.outages import note_domain_reached
-from .systems.quarantining import note_sound
-from .systems.quarantining import share
-from .systems.recognising import fingerprint_of
-from .systems.repeats import note_repeat
-from .systems.repeats import note_request
-from .systems.throttling import note_sent as note_limited_sent
+from .systems.outages import clear_outage
+from .systems.quarantining import record_complete_answer
+from .systems.quarantining import share_suspect
+from .systems.recognising import compute_fingerprint
+from .systems.repeats import count_repeat
+from .systems.repeats import count_request
+from .systems.throttling import use_grant
 from .systems.timing import ALIVE_FACTOR
-from .systems.timing import first_limit_ms
+from .systems.timing import first_byte_timeout_ms
 from .systems.timing import is_alive
 from .systems.warming import is_cold
-from .systems.warming import note_sent
-from .systems.worker_health import note_load
+from .systems.warming import record_cold_send
+from .systems.worker_health import record_load
 from .tables.catalog import RequestKind
 from .tables.engines import PromptPart
 from .worker_notices import note_notice
@@ -102,7 +102,7 @@
         await forward(steps, state, reply)
     finally:
         core.running.pop(call.request, None)
-        share(core.fleet, state.fingerprint, core.clock.now())
+        share_suspect(core.fleet, state.fingerprint, core.clock.now())
 
 
 def _begin(core: Core, call: Call, admitted: Admission) -> CatalogRequest:
@@ -111,7 +111,7 @@
     return CatalogRequest(
         request=call.request,
         org=org,
-        fingerprint=fingerprint_of(
+        fingerprint=compute_fingerprint(
             org, call.method, call.host, call.target, call.body, core.fingerprint_key
         ),
         request_class=ClassId(route.name),
@@ -130,13 +130,13 @@
     """Count an attempt in the budget of repeats and log what it rests on."""
     _note_prompt(core, state, attempt)
     cold = is_cold(attempt.worker, core.clock.now())
-    note_sent(attempt.worker, core.clock.now())
-    note_limited_sent(core.fleet, attempt.worker, core.clock.now())
+    record_cold_send(attempt.worker, core.clock.now())
+    use_grant(core.fleet, attempt.worker, core.clock.now())
     attempt.repeat = state.sends > state.unreached
     if attempt.repeat:
-        note_repeat(core.fleet, attempt.service, core.clock.now())
+        count_repeat(core.fleet, attempt.service, core.clock.now())
     elif not state.sends:
-        note_request(core.fleet, attempt.service, core.clock.now())
+        count_request(core.fleet, attempt.service, core.clock.now())
     model_plan = state.model_plan
     log_event(
         "INFO",
@@ -244,7 +244,7 @@
     out busy ones overloads the rest.
     """
     route, read = state.admitted.route, state.call.tokens.read
-    limit = first_limit_ms(core.fleet, route, attempt.model, read)
+    limit = first_byte_timeout_ms(core.fleet, route, attempt.model, read)
     await asyncio.wait({sending}, timeout=limit / 1_000)
     if not sending.done() and is_alive(attempt.worker, core.clock.now()):
         longer = limit * ALIVE_FACTOR
@@ -266,10 +266,10 @@
     now = core.clock.now()
     attempt.answered = True
     attempt.worker.last_byte_at = now
-    note_domain_reached(core.fleet, attempt.worker)
-    note_return(core.fleet, attempt.worker, now)
+    clear_outage(core.fleet, attempt.worker)
+    record_worker_return(core.fleet, attempt.worker, now)
     if found.load is not None:
-        note_load(attempt.worker, found.load, now)
+        record_load(attempt.worker, found.load, now)
     note_notice(core, state, attempt, found)
     if found.replaced:
         mark_replaced(core.fleet, attempt.worker)
@@ -279,7 +279,7 @@
     """Take in that a worker said nothing until the request's time was over."""
     waited = core.clock.now() - attempt.sent
     route, read = state.admitted.route, state.call.tokens.read
-    limit = first_limit_ms(core.fleet, route, attempt.model, read)
+    limit = first_byte_timeout_ms(core.fleet, route, attempt.model, read)
     if not attempt.answered and waited >= limit:
         detail = f"no answer within {waited} ms, the request's time"
         fault = SendFault(False, detail, silent=True)
@@ -319,7 +319,7 @@
 ) -> Ending:
     """Keep a worker's own failure: it is given if no other worker does better."""
     body = await found.read()
-    note_sound(core.fleet, state.fingerprint, core.clock.now())
+    record_complete_answer(core.fleet, state.fingerprint, core.clock.now())
     if found.status >= 500:
         note_bad(core, state, attempt, BrokenAnswerError(f"status {found.status}"))
     state.failed_versions |= attempt.worker.versions
--- a/src/spanshunt/daemon.py
+++ b/src/spanshunt/daemon.py
@@ -49,7 +49,7 @@
 from .systems.freshness import quorum_time
 from .systems.freshness import record_fresh_proof
 from .systems.learning import expire_epochs
-from .systems.limiting import tick_usage
+from .systems.limiting import update_usage
 from .systems.worker_choice import end_ejections
 from .systems.worker_choice import least_loaded_picker
 from .tables.identity import Identity
@@ -233,7 +233,7 @@
         router, now = self.router, self.clock.now()
         state = router.state
         limits = {OrgId(name): row.limits for name, row in state.config.orgs.items()}
-        tick_usage(state.usage, limits, router.boxes(), now, _LIMITS_MS)
+        update_usage(state.usage, limits, router.boxes(), now, _LIMITS_MS)
 
     async def _expire(self) -> None:
         expire_epochs(self.router.state.evidence, self.clock.wall())
--- a/src/spanshunt/engine_news.py
+++ b/src/spanshunt/engine_news.py
@@ -4,7 +4,7 @@
 from .peers.news import News
 from .systems.estimating import apply_peer_prefill
 from .systems.estimating import merge_prefill_speed
-from .systems.pacing import take_pace
+from .systems.pacing import merge_decode_speed
 from .tables.engines import PrefillSpeed
 from .tables.engines import PromptPart
 from .tables.engines import RecentPrefill
@@ -17,7 +17,7 @@
         speed = PrefillSpeed(told.read_ms, told.base_ms)
         merge_prefill_speed(fleet, told.service, told.model, speed)
         if told.gap_ms > 0.0:
-            take_pace(fleet, told.service, told.model, told.gap_ms)
+            merge_decode_speed(fleet, told.service, told.model, told.gap_ms)
     for row in fleet.workers.rows.values():
         row.peer_prefill_ms.pop(news.box, None)
     for waiting in news.readings:
--- a/src/spanshunt/exchange.py
+++ b/src/spanshunt/exchange.py
@@ -41,7 +41,7 @@
 from .rollout_lines import log_turned_bad
 from .rollout_lines import log_verdict
 from .systems.eras import record_era
-from .systems.evacuating import take_evacuation
+from .systems.evacuating import apply_evacuation
 from .systems.fleet_size import box_count
 from .systems.following_workers import apply_worker_list
 from .systems.following_workers import find_list_reader
@@ -52,16 +52,16 @@
 from .systems.proving import merge_peer_proof
 from .systems.proving import newest_reported_version
 from .systems.proving import proof_age
-from .systems.quarantining import kept_digest
-from .systems.quarantining import newly_kept
-from .systems.quarantining import take_suspect
+from .systems.quarantining import merge_suspect
+from .systems.quarantining import quarantine_digest
+from .systems.quarantining import update_quarantine
 from .systems.ramping import apply_order
 from .systems.ramping import apply_verdict
 from .systems.ramping import bar_versions
-from .systems.silence import Silence
+from .systems.silence import SilenceReport
 from .systems.silence import is_silent
-from .systems.silence import newest_silences
-from .systems.silence import note_silence
+from .systems.silence import newest_silence_reports
+from .systems.silence import record_silence
 from .tables.fleet import CatalogProof
 from .tables.fleet import Fleet
 from .tables.fleet import PeerRow
@@ -210,7 +210,7 @@
             served=is_served_by_store(fleet, now),
             silences=tuple(
                 SilenceNews(item.worker, item.box, now - item.at)
-                for item in newest_silences(fleet, now)
+                for item in newest_silence_reports(fleet, now)
             ),
             speeds=speeds_news(fleet),
             readings=readings_news(fleet),
@@ -218,7 +218,7 @@
             suspects=suspects_news(
                 fleet, now, asker.kept_digest if asker is not None else None
             ),
-            kept_digest=kept_digest(fleet),
+            kept_digest=quarantine_digest(fleet),
             kept_known=fleet.quarantine_known,
             followers=followers_to_announce(fleet, now)
             if domain == fleet.identity.domain
@@ -278,17 +278,17 @@
         for order in news.rollouts:
             self._take_rollout(news, order, now)
         for word in news.evacuations:
-            if take_evacuation(fleet, told_evacuation(word), now):
+            if apply_evacuation(fleet, told_evacuation(word), now):
                 log_evacuation(fleet, word.domain, news.box)
         for told in news.silences:
             self._take_silence(news, told, now)
         for item in news.suspects:
             suspect = told_suspect(item, now)
             suspect.recorded &= news.store_era >= fleet.store.era
-            row = take_suspect(fleet, suspect, now)
-            if newly_kept(fleet, row, now):
+            row = merge_suspect(fleet, suspect, now)
+            if update_quarantine(fleet, row, now):
                 self._on_kept(row, news.box)
-        if news.kept_known and news.kept_digest == kept_digest(fleet):
+        if news.kept_known and news.kept_digest == quarantine_digest(fleet):
             fleet.quarantine_known = True
         take_engine_news(fleet, news, now)
         take_limit_news(fleet, news, told_at, now)
@@ -365,9 +365,9 @@
 
     def _take_silence(self, news: News, told: SilenceNews, now: Millis) -> None:
         fleet, worker = self._fleet, told.worker
-        silence = Silence(worker, told.box, Millis(now - told.age_ms))
+        silence = SilenceReport(worker, told.box, Millis(now - told.age_ms))
         known = is_silent(fleet, worker, now)
-        if told.box == fleet.identity.box or not note_silence(fleet, silence, now):
+        if told.box == fleet.identity.box or not record_silence(fleet, silence, now):
             return
         if not known and is_silent(fleet, worker, now):
             log_event(
--- a/src/spanshunt/fleet_report.py
+++ b/src/spanshunt/fleet_report.py
@@ -13,15 +13,15 @@
 from .ids import WorkerId
 from .ids import WorkerIncarnation
 from .systems.estimating import others_wait_ms
-from .systems.evacuating import emptied_domains
-from .systems.evacuating import is_emptied
+from .systems.evacuating import evacuated_domains
+from .systems.evacuating import is_evacuated
 from .systems.exposing import entering_share
 from .systems.following_workers import find_list_reader
 from .systems.placing import batch_load
 from .systems.proving import proof_age
-from .systems.quarantining import kept_contents
+from .systems.quarantining import quarantined_requests
 from .systems.repeats import RepeatBounds
-from .systems.repeats import allowance
+from .systems.repeats import repeat_allowance
 from .systems.resting import rest_left_ms
 from .systems.silence import is_silent
 from .systems.tallies import pooled_tallies
@@ -209,7 +209,7 @@
         list_age_ms=_since(fleet.workers_read_at, now),
         list_reader=find_list_reader(fleet, now),
         store_era=fleet.store.era,
-        emptied=tuple(sorted(emptied_domains(fleet))),
+        emptied=tuple(sorted(evacuated_domains(fleet))),
         settings=_settings(fleet.settings, now),
         workers=tuple(
             _worker(fleet, row, now) for _, row in sorted(fleet.workers.rows.items())
@@ -225,7 +225,7 @@
             for name, row in sorted(fleet.models.items())
         ),
         peers=tuple(_peer(row, now) for row in _peers_in_order(fleet)),
-        kept_back=tuple(_kept_back(row, now) for row in kept_contents(fleet)),
+        kept_back=tuple(_kept_back(row, now) for row in quarantined_requests(fleet)),
     )
 
 
@@ -276,7 +276,7 @@
     if is_silent(fleet, row.name, now):
         boxes = ", ".join(sorted(fleet.silence_reports[row.name]))
         return f"silent to {boxes}"
-    if is_emptied(fleet, row.domain):
+    if is_evacuated(fleet, row.domain):
         return f"operators emptied {row.domain}"
     if is_cold(row, now):
         return f"cold for {row.cold_until - now} ms; gets little"
@@ -316,7 +316,7 @@
 def _budget(
     fleet: Fleet, bounds: RepeatBounds, service: ServiceId, now: Millis
 ) -> BudgetView:
-    window = allowance(fleet, service, now, bounds)
+    window = repeat_allowance(fleet, service, now, bounds)
     return BudgetView(
         service=service,
         requests=window.requests,
--- a/src/spanshunt/http_sends.py
+++ b/src/spanshunt/http_sends.py
@@ -15,7 +15,7 @@
 from .ports import BrokenAnswerError
 from .ports import SendFault
 from .ports import TruncatedAnswerError
-from .systems.worker_health import Load
+from .systems.worker_health import WorkerLoad
 from .tables.notices import Notice
 
 READ_BYTES_MOST = 16_777_216
@@ -101,7 +101,7 @@
         self.replaced = False
         self.defect = ""
         self.confidence: float | None = None
-        self.load: Load | None = None
+        self.load: WorkerLoad | None = None
         self.notice = Notice()
 
     async def read(self) -> bytes:
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -7,9 +7,9 @@
 from ..systems.estimating import reportable_prefills
 from ..systems.following_workers import ListedWorker
 from ..systems.following_workers import is_listed_leaving
-from ..systems.quarantining import told_suspects
+from ..systems.quarantining import suspects_to_send
 from ..systems.tallies import sum_tallies
-from ..systems.throttling import newest_limits
+from ..systems.throttling import limits_to_send
 from ..tables.fleet import EvacuationRow
 from ..tables.fleet import Fleet
 from ..tables.rollouts import EPOCH_MS
@@ -259,7 +259,7 @@
             age_ms=now - heard.limit.at,
             source=heard.limit.source,
         )
-        for heard in newest_limits(fleet, now)
+        for heard in limits_to_send(fleet, now)
     )
 
 
@@ -300,7 +300,7 @@
             kept_by=row.quarantined_by,
             recorded=row.recorded,
         )
-        for row in told_suspects(fleet, now, hearer_digest)
+        for row in suspects_to_send(fleet, now, hearer_digest)
     )
 
 
--- a/src/spanshunt/planning.py
+++ b/src/spanshunt/planning.py
@@ -28,12 +28,12 @@
 from .systems.placing import choose_worker
 from .systems.placing import throttle_wait_ms
 from .systems.placing import throttled_workers
-from .systems.quarantining import is_suspected
-from .systems.quarantining import may_be_sent
+from .systems.quarantining import is_suspect
+from .systems.quarantining import may_send_content
 from .systems.ramping import VersionRule
 from .systems.ramping import version_rule_for
 from .systems.silence import silent_workers
-from .systems.throttling import has_limits
+from .systems.throttling import has_limited_workers
 from .tables.catalog import RouteRow
 from .tables.catalog import ServiceRow
 from .utils import unit_hash
@@ -114,7 +114,7 @@
     if state.fingerprint not in core.fleet.suspect_requests:
         return None
     now = core.clock.now()
-    if may_be_sent(
+    if may_send_content(
         core.fleet, state.fingerprint, now, under_way=_is_under_way(core, state)
     ):
         return None
@@ -137,7 +137,7 @@
         for other in core.running.values()
         if other is not state
         and other.under_way is not None
-        and is_suspected(core.fleet, other.fingerprint)
+        and is_suspect(core.fleet, other.fingerprint)
     }
 
 
@@ -209,7 +209,7 @@
     eager: bool,
 ) -> PlacementRequest:
     fleet, route = core.fleet, state.admitted.route
-    suspected = is_suspected(fleet, state.fingerprint)
+    suspected = is_suspect(fleet, state.fingerprint)
     return PlacementRequest(
         service=state.service,
         rule=rule,
@@ -234,7 +234,7 @@
     another caller could use.
     """
     fleet, catalog = core.fleet, core.fleet.catalog
-    if catalog is None or not has_limits(fleet, state.service):
+    if catalog is None or not has_limited_workers(fleet, state.service):
         return True
     if state.raised:
         return False
--- a/src/spanshunt/platform/kept_back.py
+++ b/src/spanshunt/platform/kept_back.py
@@ -12,12 +12,12 @@
 from ..logs import log_event
 from ..systems.blaming import live_peers
 from ..systems.following_workers import is_domain_follower
-from ..systems.quarantining import FORGOTTEN_MS
-from ..systems.quarantining import KEPT_MS
-from ..systems.quarantining import due_drops
-from ..systems.quarantining import due_records
-from ..systems.quarantining import newly_kept
-from ..systems.quarantining import take_suspect
+from ..systems.quarantining import QUARANTINE_EXPIRY_MS
+from ..systems.quarantining import QUARANTINE_MS
+from ..systems.quarantining import merge_suspect
+from ..systems.quarantining import quarantines_to_record
+from ..systems.quarantining import records_to_remove
+from ..systems.quarantining import update_quarantine
 from ..tables.suspects import SuspectRequest
 from . import wire
 from .store import Listing
@@ -69,9 +69,9 @@
             return
         if not self._fleet.quarantine_known and self._reads(now):
             await self._read_all()
-        for row in due_records(self._fleet, now):
+        for row in quarantines_to_record(self._fleet, now):
             await self._record(row)
-        for row in due_drops(self._fleet, now):
+        for row in records_to_remove(self._fleet, now):
             if await self._drop(row.fingerprint):
                 row.dropped_at = now
         while self._expired and await self._drop(self._expired[-1]):
@@ -110,9 +110,9 @@
             record = decoded.ok_value
             # Ends that lie ahead by this box's time of day count from now on.
             age = max(0, wall - record.ended)
-            if age > FORGOTTEN_MS:
+            if age > QUARANTINE_EXPIRY_MS:
                 self._expired.append(Fingerprint(item.key_file))
-            if age > KEPT_MS:
+            if age > QUARANTINE_MS:
                 continue
             told = SuspectRequest(
                 fingerprint=Fingerprint(item.key_file),
@@ -124,8 +124,8 @@
                 quarantined_by=BoxId(record.found_by),
                 recorded=True,
             )
-            row = take_suspect(self._fleet, told, now)
-            if newly_kept(self._fleet, row, now):
+            row = merge_suspect(self._fleet, told, now)
+            if update_quarantine(self._fleet, row, now):
                 log_event(
                     "INFO",
                     "content kept back",
--- a/src/spanshunt/platform/record_taking.py
+++ b/src/spanshunt/platform/record_taking.py
@@ -14,9 +14,9 @@
 from ..logs import log_event
 from ..platform_lines import log_evacuation
 from ..rollout_lines import log_order
-from ..systems.evacuating import take_absent
-from ..systems.evacuating import take_evacuation
-from ..systems.quarantining import release
+from ..systems.evacuating import apply_evacuation
+from ..systems.evacuating import revoke_unlisted
+from ..systems.quarantining import release_suspect
 from ..systems.ramping import apply_order
 from ..tables.fleet import EvacuationRow
 from . import wire
@@ -53,7 +53,7 @@
             self._take_release(Fingerprint(key[len(wire.RELEASE_PREFIX) :]), value)
 
     def _take_evacuation(self, told: EvacuationRow) -> None:
-        if take_evacuation(self._fleet, told, self._reader.now()):
+        if apply_evacuation(self._fleet, told, self._reader.now()):
             log_evacuation(self._fleet, told.domain, "store")
             self._tell_now()
 
@@ -65,7 +65,7 @@
             for item in listing.items
             if item.key_file.startswith(prefix)
         }
-        freed = take_absent(self._fleet, listed, listing.end, self._reader.now())
+        freed = revoke_unlisted(self._fleet, listed, listing.end, self._reader.now())
         for domain in freed:
             log_evacuation(self._fleet, domain, "store")
 
@@ -76,7 +76,7 @@
             return
         age = max(0, self._reader.clock.wall() - decoded.ok_value.at)
         now = self._reader.now()
-        release(self._fleet, content, Millis(now - age), now)
+        release_suspect(self._fleet, content, Millis(now - age), now)
         log_event("INFO", "content released", fingerprint=content, age_ms=age)
 
     def _take_order(self, value: bytes, offset: Offset, *, seen: bool) -> None:
--- a/src/spanshunt/platform/workers.py
+++ b/src/spanshunt/platform/workers.py
@@ -21,7 +21,7 @@
 from ..ports import Answer
 from ..ports import Dispatch
 from ..ports import SendFault
-from ..systems.worker_health import Load
+from ..systems.worker_health import WorkerLoad
 from ..tables.notices import InvalidNotice
 from ..tables.notices import Notice
 from ..tables.notices import NoticeKind
@@ -189,11 +189,11 @@
         return None
 
 
-def _load(text: str | None) -> Load | None:
+def _load(text: str | None) -> WorkerLoad | None:
     """Decode ``running,waiting,slots``; anything else tells nothing."""
     parts = [wire.whole_number(part) for part in (text or "").split(",")]
     numbers = [part for part in parts if part is not None]
     if len(parts) != 3 or len(numbers) != 3:
         return None
     running, waiting, slots = numbers
-    return Load(running, waiting, slots)
+    return WorkerLoad(running, waiting, slots)
--- a/src/spanshunt/ports.py
+++ b/src/spanshunt/ports.py
@@ -15,7 +15,7 @@
 from .ids import RequestId
 from .refusals import Refusal
 from .systems.cascading import RequestTokens
-from .systems.worker_health import Load
+from .systems.worker_health import WorkerLoad
 from .tables.engines import PromptPart
 from .tables.notices import Notice
 from .tables.workers import WorkerRow
@@ -163,7 +163,7 @@
         Why this is not a valid answer to the request; empty if it is valid.
     confidence : float or None
         Confidence of the model in its answer, in 0 to 1.
-    load : Load or None
+    load : WorkerLoad or None
         Load that the worker reports.
     notice : Notice
         Notices of the worker about itself, other than its load.
@@ -175,7 +175,7 @@
     replaced: bool
     defect: str
     confidence: float | None
-    load: Load | None
+    load: WorkerLoad | None
     notice: Notice
 
     async def read(self) -> bytes:
--- a/src/spanshunt/relaying.py
+++ b/src/spanshunt/relaying.py
@@ -20,7 +20,7 @@
 from .systems.cascading import required_probability
 from .systems.cascading import update_repeat_price
 from .systems.timing import ALIVE_FACTOR
-from .systems.timing import gap_limit_ms
+from .systems.timing import gap_timeout_ms
 from .systems.timing import is_alive
 
 
@@ -120,7 +120,7 @@
     route, worker = state.admitted.route, attempt.worker
     if not route.resumable or state.runs >= route.max_attempts:
         return await found.next_block()
-    limit_ms = gap_limit_ms(route)
+    limit_ms = gap_timeout_ms(route)
     silent_ms = 0.0
     while True:
         try:
--- a/src/spanshunt/systems/evacuating.py
+++ b/src/spanshunt/systems/evacuating.py
@@ -13,22 +13,22 @@
 from ..tables.fleet import EvacuationRow
 from ..tables.fleet import Fleet
 from .eras import awaits_operator_rewrites
-from .warming import note_started
+from .warming import mark_cold
 
 
-def is_emptied(fleet: Fleet, domain: DomainId) -> bool:
+def is_evacuated(fleet: Fleet, domain: DomainId) -> bool:
     """Return whether a failure domain is evacuated."""
     row = fleet.evacuations.get(domain)
     return row is not None and row.active
 
 
-def emptied_domains(fleet: Fleet) -> frozenset[DomainId]:
+def evacuated_domains(fleet: Fleet) -> frozenset[DomainId]:
     """Return the failure domains that are evacuated."""
     rows = fleet.evacuations.values()
     return frozenset(row.domain for row in rows if row.active)
 
 
-def take_evacuation(fleet: Fleet, received: EvacuationRow, now: Millis) -> bool:
+def apply_evacuation(fleet: Fleet, received: EvacuationRow, now: Millis) -> bool:
     """Apply an operator's order; return whether this changes where requests may go.
 
     That an evacuation was revoked may follow only from the absence of its record in a
@@ -36,16 +36,16 @@
     at that offset is newer.
     """
     known = fleet.evacuations.get(received.domain)
-    if known is not None and _age(known) >= _age(received):
+    if known is not None and _sort_key(known) >= _sort_key(received):
         return False
     fleet.evacuations[received.domain] = received
     was_active = known is not None and known.active
     if was_active and not received.active:
-        _warm_up(fleet, received.domain, now)
+        _mark_workers_cold(fleet, received.domain, now)
     return was_active != received.active
 
 
-def take_absent(
+def revoke_unlisted(
     fleet: Fleet, listed: t.Collection[DomainId], end: Offset, now: Millis
 ) -> tuple[DomainId, ...]:
     """Revoke evacuations that a complete list of records lacks; return their domains.
@@ -71,15 +71,15 @@
     return tuple(
         domain
         for domain in absent
-        if take_evacuation(fleet, EvacuationRow(domain, end, active=False), now)
+        if apply_evacuation(fleet, EvacuationRow(domain, end, active=False), now)
     )
 
 
-def _age(row: EvacuationRow) -> tuple[Offset, bool]:
+def _sort_key(row: EvacuationRow) -> tuple[Offset, bool]:
     return row.order, row.active
 
 
-def _warm_up(fleet: Fleet, domain: DomainId, now: Millis) -> None:
+def _mark_workers_cold(fleet: Fleet, domain: DomainId, now: Millis) -> None:
     for row in fleet.workers.rows.values():
         if row.domain == domain:
-            note_started(fleet, row, now)
+            mark_cold(fleet, row, now)
--- a/src/spanshunt/systems/following_workers.py
+++ b/src/spanshunt/systems/following_workers.py
@@ -18,7 +18,7 @@
 from ..tables.notices import LeavingNotice
 from ..tables.workers import WorkerRow
 from ..tables.workers import WorkerState
-from .warming import note_started
+from .warming import mark_cold
 
 ENTRY_GRACE_MS = 2_000
 """How long after the store is back an expired entry is waited for, in ms: live workers
@@ -150,7 +150,7 @@
         if item.cold_ms is not None:
             row.cold_until = max(row.cold_until, Millis(now + item.cold_ms))
         elif row is listed_row:
-            note_started(fleet, row, now)
+            mark_cold(fleet, row, now)
         row.listed_leaving = item.draining
         if item.draining and listed_row.name not in workers.leaving:
             _mark_leaving(fleet, listed_row.name)
--- a/src/spanshunt/systems/forgetting.py
+++ b/src/spanshunt/systems/forgetting.py
@@ -2,15 +2,15 @@
 
 from ..ids import Millis
 from ..tables.fleet import Fleet
-from .ending import forget_breaks
+from .ending import expire_broken_connections
 from .estimating import expire_peer_prefill
-from .quarantining import forget_suspects
+from .quarantining import expire_suspects
 from .watching import drop_old_epochs
 
 
 def forget_old(fleet: Fleet, now: Millis) -> None:
     """Drop expired reports and breaks, old suspect contents and old epochs."""
     expire_peer_prefill(fleet, now)
-    forget_breaks(fleet, now)
-    forget_suspects(fleet, now)
+    expire_broken_connections(fleet, now)
+    expire_suspects(fleet, now)
     drop_old_epochs(fleet, now)
--- a/src/spanshunt/systems/gossip.py
+++ b/src/spanshunt/systems/gossip.py
@@ -28,8 +28,8 @@
 from .freshness import record_fresh_proof
 from .learning import changes_since
 from .learning import merge_counts
-from .limiting import hear_usage
-from .limiting import usage_rows
+from .limiting import merge_peer_usage
+from .limiting import own_usage_rows
 
 MEMBERS_PER_MESSAGE = 6
 """Maximum number of rows of other boxes in one message."""
@@ -56,7 +56,7 @@
         state.evidence, first_change, EVIDENCE_PER_MESSAGE
     )
     state.evidence_sent[peer] = next_change
-    usage = usage_rows(state.usage, state.identity.incarnation)
+    usage = own_usage_rows(state.usage, state.identity.incarnation)
     if len(usage) > USAGE_PER_MESSAGE:
         usage = tuple(rng.sample(usage, USAGE_PER_MESSAGE))
     return Exchange(
@@ -88,7 +88,7 @@
         merge_member(state, row, now)
     state.workers.leaving.update(message.leaving)
     merge_counts(state.evidence, message.evidence, wall)
-    hear_usage(state.usage, message.usage, state.identity.incarnation, now)
+    merge_peer_usage(state.usage, message.usage, state.identity.incarnation, now)
     for suspension in message.suspended:
         _apply_suspension(state, suspension, now)
 
--- a/src/spanshunt/systems/limiting.py
+++ b/src/spanshunt/systems/limiting.py
@@ -20,10 +20,10 @@
 from ..tables.usage import UsageRow
 
 DAY_MS = 86_400_000
-HEARD_MS = 10_000
+PEER_USAGE_VALID_MS = 10_000
 """How long a peer's row is valid, in ms."""
 
-LEAST_DEMAND = 0.2
+MIN_DEMAND = 0.2
 """Demand that each box counts with at least, in requests a second, even if it sees
 none."""
 
@@ -35,7 +35,7 @@
 """Time constant of the moving mean of demand, in ms."""
 
 
-class OverLimit(enum.Enum):
+class LimitKind(enum.Enum):
     """The kind of limit that a request exceeds."""
 
     RATE = "rate"
@@ -43,55 +43,55 @@
     BUDGET = "budget"
 
 
-class Refused(msgspec.Struct, frozen=True):
+class LimitExceeded(msgspec.Struct, frozen=True):
     """A request that exceeds a limit.
 
     Attributes
     ----------
-    limit : OverLimit
+    limit : LimitKind
         The limit that is exceeded.
     retry_ms : int
         After what time the caller may retry, in ms.
     """
 
-    limit: OverLimit
+    limit: LimitKind
     retry_ms: Millis
 
 
 def admit(
     usage: Usage, org: OrgId, limits: Limits, boxes: int, now: Millis, wall: Millis
-) -> Refused | None:
+) -> LimitExceeded | None:
     """Admit a request, or return the limit that it exceeds."""
-    own = _own(usage, org, limits, boxes, now)
+    own = _own_usage(usage, org, limits, boxes, now)
     own.asked += 1
     _refill(own, limits, boxes, now)
-    _turn_day(own, wall)
+    _start_new_day(own, wall)
     spent = own.spent + own.others_spent
     if limits.budget is not None and spent >= limits.budget:
-        return Refused(OverLimit.BUDGET, Millis(DAY_MS - wall % DAY_MS))
-    if own.running >= _running_bound(own, limits, boxes):
-        return Refused(OverLimit.CONCURRENCY, Millis(1_000))
+        return LimitExceeded(LimitKind.BUDGET, Millis(DAY_MS - wall % DAY_MS))
+    if own.running >= _concurrency_share(own, limits, boxes):
+        return LimitExceeded(LimitKind.CONCURRENCY, Millis(1_000))
     if own.tokens < 1.0:
         wait_ms = (1.0 - own.tokens) / max(own.allowance, 1e-6) * 1000
-        return Refused(OverLimit.RATE, Millis(math.ceil(min(wait_ms, 60_000))))
+        return LimitExceeded(LimitKind.RATE, Millis(math.ceil(min(wait_ms, 60_000))))
     own.tokens -= 1.0
     own.running += 1
     return None
 
 
-def finish(usage: Usage, org: OrgId, cost: Micros, wall: Millis) -> None:
+def finish_request(usage: Usage, org: OrgId, cost: Micros, wall: Millis) -> None:
     """Record the end of a request, and its cost."""
     own = usage.own[org]
     own.running -= 1
-    _turn_day(own, wall)
+    _start_new_day(own, wall)
     own.spent = Micros(own.spent + cost)
 
 
-def tick_usage(
+def update_usage(
     usage: Usage, limits: dict[OrgId, Limits], boxes: int, now: Millis, period: int
 ) -> None:
     """Update demand and allowances; `period` is the time since the last call, in ms."""
-    _forget(usage, now)
+    _expire_peer_usage(usage, now)
     others: dict[OrgId, list[UsageRow]] = {}
     for peer in usage.heard.values():
         others.setdefault(peer.row.org, []).append(peer.row)
@@ -108,14 +108,14 @@
         rows = others.get(org, [])
         own.others_running = sum(row.running for row in rows)
         own.others_spent = Micros(sum(row.spent for row in rows if row.day == own.day))
-        others_demand = sum(max(row.demand, LEAST_DEMAND) for row in rows)
+        others_demand = sum(max(row.demand, MIN_DEMAND) for row in rows)
         silent_boxes = max(0, boxes - 1 - len(rows))
-        others_demand += silent_boxes * LEAST_DEMAND
-        own_demand = max(own.demand, LEAST_DEMAND)
+        others_demand += silent_boxes * MIN_DEMAND
+        own_demand = max(own.demand, MIN_DEMAND)
         own.allowance = org_limits.rate * own_demand / (own_demand + others_demand)
 
 
-def usage_rows(usage: Usage, origin: str) -> tuple[UsageRow, ...]:
+def own_usage_rows(usage: Usage, origin: str) -> tuple[UsageRow, ...]:
     """Return this box's usage rows for peers, of organisations that use anything."""
     return tuple(
         UsageRow(origin, org, round(own.demand, 3), own.running, own.day, own.spent)
@@ -124,7 +124,7 @@
     )
 
 
-def hear_usage(
+def merge_peer_usage(
     usage: Usage, rows: tuple[UsageRow, ...], own_origin: str, now: Millis
 ) -> None:
     """Merge the usage rows that a peer sent for itself."""
@@ -133,7 +133,9 @@
             usage.heard[(row.origin, row.org)] = PeerUsage(row, now)
 
 
-def _own(usage: Usage, org: OrgId, limits: Limits, boxes: int, now: Millis) -> OwnUsage:
+def _own_usage(
+    usage: Usage, org: OrgId, limits: Limits, boxes: int, now: Millis
+) -> OwnUsage:
     own = usage.own.get(org)
     if own is None:
         share = 1 / max(1, boxes)
@@ -149,13 +151,13 @@
     own.refilled_at = now
 
 
-def _running_bound(own: OwnUsage, limits: Limits, boxes: int) -> int:
+def _concurrency_share(own: OwnUsage, limits: Limits, boxes: int) -> int:
     unused = limits.concurrency - own.others_running
     fair_share = math.ceil(limits.concurrency / max(1, boxes))
     return max(unused, min(fair_share, limits.concurrency))
 
 
-def _turn_day(own: OwnUsage, wall: Millis) -> None:
+def _start_new_day(own: OwnUsage, wall: Millis) -> None:
     day = wall // DAY_MS
     if own.day != day:
         own.day = day
@@ -163,7 +165,7 @@
         own.others_spent = Micros(0)
 
 
-def _forget(usage: Usage, now: Millis) -> None:
+def _expire_peer_usage(usage: Usage, now: Millis) -> None:
     for key, peer in list(usage.heard.items()):
-        if now - peer.at > HEARD_MS:
+        if now - peer.at > PEER_USAGE_VALID_MS:
             del usage.heard[key]
--- a/src/spanshunt/systems/outages.py
+++ b/src/spanshunt/systems/outages.py
@@ -14,34 +14,36 @@
 from ..tables.fleet import Fleet
 from ..tables.workers import WorkerRow
 
-WORKERS_LEAST = 2
+MIN_UNREACHABLE_WORKERS = 2
 """Workers of a domain that must be unreachable; a single one may have ended on its
 own."""
 
-OUTAGE_MS = 1_500
+UNREACHABLE_VALID_MS = 1_500
 """How long an unreachable worker counts towards an outage of its domain, in ms. A box
 then tries the domain again with one request. A refused connection costs it 1 ms, and
 one that hangs 400 ms."""
 
 
-def note_domain_unreached(fleet: Fleet, worker: WorkerRow, now: Millis) -> None:
-    """Record that a worker could not be reached."""
+def add_to_outage(fleet: Fleet, worker: WorkerRow, now: Millis) -> None:
+    """Count an unreachable worker towards an outage of its domain."""
     outage = fleet.outages.setdefault(worker.domain, DomainOutage())
     outage.unreached[worker.name] = now
     for name, at in list(outage.unreached.items()):
-        if now - at >= OUTAGE_MS:
+        if now - at >= UNREACHABLE_VALID_MS:
             del outage.unreached[name]
 
 
-def note_domain_reached(fleet: Fleet, worker: WorkerRow) -> None:
-    """Record that a worker answered, so its domain is reachable."""
+def clear_outage(fleet: Fleet, worker: WorkerRow) -> None:
+    """Clear the outage of a domain, as one of its workers answered."""
     fleet.outages.pop(worker.domain, None)
 
 
-def is_out_of_reach(fleet: Fleet, domain: DomainId, now: Millis) -> bool:
+def has_outage(fleet: Fleet, domain: DomainId, now: Millis) -> bool:
     """Return whether an outage makes a domain's workers the last choice."""
     outage = fleet.outages.get(domain)
     if outage is None:
         return False
-    recent_count = sum(now - at < OUTAGE_MS for at in outage.unreached.values())
-    return recent_count >= WORKERS_LEAST
+    recent_count = sum(
+        now - at < UNREACHABLE_VALID_MS for at in outage.unreached.values()
+    )
+    return recent_count >= MIN_UNREACHABLE_WORKERS
--- a/src/spanshunt/systems/pacing.py
+++ b/src/spanshunt/systems/pacing.py
@@ -12,32 +12,32 @@
 from ..tables.rollouts import Verdict
 from ..tables.workers import WorkerRow
 
-PACE_QUANTILE = 0.1
+GAP_QUANTILE = 0.1
 """Quantile of the times between events that is the usual one. It depends little on the
 load, and stays correct while most workers are several times slower."""
 
-STEP_MOST, STEP_LEAST = 0.5, 0.05
+MAX_STEP, MIN_STEP = 0.5, 0.05
 """Relative steps by which a learned time changes: the first one and later ones. A load
 that doubles the times is followed within some sixty answers."""
 
 PEER_SPEED_WEIGHT = 0.2
 """Weight of a peer's time relative to this box's own in each round of gossip."""
 
-SLOW_WRITE_FACTOR = 1.7
+SLOW_DECODE_FACTOR = 1.7
 """An answer is slow if its events took this many times the usual time. Under load, some
 answers of a good version do; if a version makes half of its answers slow, nearly all
 are slow, as the other answers of a batch wait for these."""
 
-WRITE_GAPS_LEAST = 3
+MIN_GAPS = 3
 """Minimum number of times between events for which an answer shows its speed, as
 engines prefill other prompts in between."""
 
-WRITE_LEAST_MS = 300
+MIN_DECODE_MS = 300
 """Answers generated in less time than this never count as slow, in ms. One prefill of
 another prompt may delay them by as much."""
 
 
-def note_pace(
+def learn_decode_speed(
     fleet: Fleet,
     service: ServiceId,
     model: ModelId,
@@ -54,12 +54,14 @@
         fleet.decode_speeds[(service, model)] = DecodeSpeed(gap_ms, 1)
         return
     speed.answers += 1
-    step = max(STEP_LEAST, STEP_MOST / speed.answers)
+    step = max(MIN_STEP, MAX_STEP / speed.answers)
     is_above = gap_ms > speed.gap_ms
-    speed.gap_ms *= 1.0 + step * (PACE_QUANTILE if is_above else PACE_QUANTILE - 1.0)
+    speed.gap_ms *= 1.0 + step * (GAP_QUANTILE if is_above else GAP_QUANTILE - 1.0)
 
 
-def take_pace(fleet: Fleet, service: ServiceId, model: ModelId, gap_ms: float) -> None:
+def merge_decode_speed(
+    fleet: Fleet, service: ServiceId, model: ModelId, gap_ms: float
+) -> None:
     """Merge a time that a peer learned: each box moves a little towards it."""
     speed = fleet.decode_speeds.get((service, model))
     if speed is None:
@@ -68,19 +70,19 @@
     speed.gap_ms += PEER_SPEED_WEIGHT * (gap_ms - speed.gap_ms)
 
 
-STALL_MS = 600
+STALL_ALLOWANCE_MS = 600
 """Time deducted from an answer that is still being generated, in ms, so that the
 prefill of another prompt in between does not make it slow. Without it, a third to a
 half of the answers of the leaving version counted as slow; a tenth were slow at their
 end."""
 
 
-def tells_pace(gaps: int) -> bool:
+def has_enough_gaps(gaps: int) -> bool:
     """Return whether an answer has enough events to show how fast it is generated."""
-    return gaps >= WRITE_GAPS_LEAST
+    return gaps >= MIN_GAPS
 
 
-def is_slow_writing(
+def is_slow_decode(
     fleet: Fleet,
     service: ServiceId,
     model: ModelId,
@@ -105,7 +107,7 @@
         Whether the answer is complete.
     """
     speed = fleet.decode_speeds.get((service, model))
-    if speed is None or not tells_pace(gaps) or elapsed_ms < WRITE_LEAST_MS:
+    if speed is None or not has_enough_gaps(gaps) or elapsed_ms < MIN_DECODE_MS:
         return False
-    decode_ms = elapsed_ms if whole else elapsed_ms - STALL_MS
-    return decode_ms > SLOW_WRITE_FACTOR * speed.gap_ms * gaps
+    decode_ms = elapsed_ms if whole else elapsed_ms - STALL_ALLOWANCE_MS
+    return decode_ms > SLOW_DECODE_FACTOR * speed.gap_ms * gaps
--- a/src/spanshunt/systems/placing.py
+++ b/src/spanshunt/systems/placing.py
@@ -26,9 +26,9 @@
 from .estimating import make_estimator
 from .estimating import prefill_speed
 from .estimating import shared_prefill_ms
-from .evacuating import emptied_domains
+from .evacuating import evacuated_domains
 from .keeping import part_key
-from .outages import is_out_of_reach
+from .outages import has_outage
 from .ramping import VersionRule
 from .resting import rest_left_ms
 from .throttling import grant_wait_ms
@@ -257,9 +257,7 @@
         for row in rows
         if row.ejected_until <= now and row.name not in request.silent
     ]
-    unreachable = {
-        domain for domain in fleet.outages if is_out_of_reach(fleet, domain, now)
-    }
+    unreachable = {domain for domain in fleet.outages if has_outage(fleet, domain, now)}
     reachable = (
         [row for row in live if row.domain not in unreachable] if unreachable else live
     )
@@ -295,7 +293,7 @@
 ) -> t.Callable[[WorkerRow], bool]:
     """Return a predicate for workers available apart from their own notices."""
     leaving = fleet.workers.leaving
-    emptied = emptied_domains(fleet)
+    emptied = evacuated_domains(fleet)
     bounds = [allowed for allowed in request.regions if allowed]
 
     def takes_work(row: WorkerRow) -> bool:
--- a/src/spanshunt/systems/quarantining.py
+++ b/src/spanshunt/systems/quarantining.py
@@ -22,47 +22,47 @@
 from ..utils import rendezvous
 from .blaming import live_peers
 
-ENDS_MOST = 3
+QUARANTINE_ENDS = 3
 """Worker ends that quarantine a content. Where workers also end for other reasons, 2
 would quarantine many harmless requests; the third costs one more worker."""
 
-KEPT_MS = 3_600_000
+QUARANTINE_MS = 3_600_000
 """How long after the last end a content stays quarantined before it is tried once more,
 in ms. A cause that nobody fixes thus costs one worker an hour."""
 
-FORGOTTEN_MS = 24 * 3_600_000
+QUARANTINE_EXPIRY_MS = 24 * 3_600_000
 """How long after the last change a quarantined content is forgotten, in ms."""
 
-SUSPECTED_MS = 600_000
+SUSPECT_EXPIRY_MS = 600_000
 """The same for a suspect that is not quarantined, in ms. Callers that repeat a request
 do so within this time."""
 
-SUSPECTS_MOST = 2_048
+MAX_SUSPECTS = 2_048
 """Maximum number of suspects kept; the one unchanged for longest is evicted first. They
 take under 2 MB."""
 
-TOLD_MS = 3_000
+CHANGE_SENT_MS = 3_000
 """How long after a change a suspect is sent to peers in each round of gossip, in ms:
 for seven rounds. A box that missed all of them detects that its digest differs."""
 
-TOLD_MOST, KEPT_TOLD_MOST = 24, 128
+MAX_SUSPECTS_SENT, MAX_QUARANTINED_SENT = 24, 128
 """Maximum number of suspects in one message, and of quarantined contents sent to a box
 whose digest differs. Each takes some 100 bytes."""
 
-RECORD_AFTER_MS = 150
+RECORD_DELAY_MS = 150
 """Delay before a quarantine is recorded in the store, in ms. Boxes that quarantine a
 content at the same time learn of each other meanwhile, and one of them records it."""
 
-SOUND_MOST = 4_096
+MAX_COMPLETED = 4_096
 """Maximum number of completely answered contents kept: two minutes of a box's requests,
 in under 1 MB."""
 
-_SAME_MS = 1_000
+_SAME_EVENT_MS = 1_000
 """Times of one event reported by two boxes differ by less than this, in ms: the
 duration of a call."""
 
 
-def note_end_under(
+def record_end_during(
     fleet: Fleet,
     fingerprint: Fingerprint,
     service: ServiceId,
@@ -77,7 +77,7 @@
             service,
             cleared_at=fleet.last_completed.get(fingerprint, Millis(-1)),
         )
-        _make_room(fleet)
+        _evict_suspects(fleet)
     row.ends.setdefault(worker.incarnation, now)
     row.versions |= worker.versions
     row.shared |= len(row.counted_ends()) > 1
@@ -85,11 +85,11 @@
     return row
 
 
-def note_sound(fleet: Fleet, fingerprint: Fingerprint, at: Millis) -> None:
+def record_complete_answer(fleet: Fleet, fingerprint: Fingerprint, at: Millis) -> None:
     """Record that a worker completed an answer to a content and went on running."""
     fleet.last_completed.pop(fingerprint, None)
     fleet.last_completed[fingerprint] = at
-    if len(fleet.last_completed) > SOUND_MOST:
+    if len(fleet.last_completed) > MAX_COMPLETED:
         del fleet.last_completed[next(iter(fleet.last_completed))]
     row = fleet.suspect_requests.get(fingerprint)
     if row is None:
@@ -102,7 +102,9 @@
         row.cleared_at = row.changed_at = at
 
 
-def release(fleet: Fleet, fingerprint: Fingerprint, at: Millis, now: Millis) -> None:
+def release_suspect(
+    fleet: Fleet, fingerprint: Fingerprint, at: Millis, now: Millis
+) -> None:
     """Release a content by an operator's order, given at `at`.
 
     The release also covers ends before it that this box learns of later. Ends after it
@@ -115,30 +117,32 @@
     row.changed_at = now
 
 
-def share(fleet: Fleet, fingerprint: Fingerprint, now: Millis) -> None:
+def share_suspect(fleet: Fleet, fingerprint: Fingerprint, now: Millis) -> None:
     """Share a suspect whose attempts here ended without a complete answer."""
     row = fleet.suspect_requests.get(fingerprint)
     if row is not None and not row.shared:
         row.shared, row.changed_at = True, now
 
 
-def is_suspected(fleet: Fleet, fingerprint: Fingerprint) -> bool:
+def is_suspect(fleet: Fleet, fingerprint: Fingerprint) -> bool:
     """Return whether a worker ended during a content since it was last cleared."""
     row = fleet.suspect_requests.get(fingerprint)
     return row is not None and bool(row.counted_ends())
 
 
-def is_kept_back(row: SuspectRequest) -> bool:
+def is_quarantined(row: SuspectRequest) -> bool:
     """Return whether a content is quarantined: it is sent to no worker."""
-    return len(row.ends) >= ENDS_MOST and len(row.counted_ends()) >= ENDS_MOST
+    return (
+        len(row.ends) >= QUARANTINE_ENDS and len(row.counted_ends()) >= QUARANTINE_ENDS
+    )
 
 
-def kept_contents(fleet: Fleet) -> list[SuspectRequest]:
+def quarantined_requests(fleet: Fleet) -> list[SuspectRequest]:
     """Return the quarantined contents."""
-    return [row for row in fleet.suspect_requests.values() if is_kept_back(row)]
+    return [row for row in fleet.suspect_requests.values() if is_quarantined(row)]
 
 
-def may_be_sent(
+def may_send_content(
     fleet: Fleet, fingerprint: Fingerprint, now: Millis, *, under_way: bool
 ) -> bool:
     """Return whether a content may be sent to a worker now.
@@ -158,13 +162,13 @@
         Whether another request with this content is in progress at this box.
     """
     row = fleet.suspect_requests.get(fingerprint)
-    if row is None or not is_kept_back(row):
+    if row is None or not is_quarantined(row):
         return True
-    due = now >= row.last_end() + KEPT_MS or _is_renewed(fleet, row)
-    return due and not under_way and _tries(fleet, row, now)
+    due = now >= row.last_end() + QUARANTINE_MS or _has_new_versions_only(fleet, row)
+    return due and not under_way and _is_retrying_box(fleet, row, now)
 
 
-def _is_renewed(fleet: Fleet, row: SuspectRequest) -> bool:
+def _has_new_versions_only(fleet: Fleet, row: SuspectRequest) -> bool:
     """Return whether the service has workers, all without a version that ended."""
     workers = fleet.workers
     versions: set[VersionId] = set()
@@ -174,14 +178,14 @@
     return bool(versions) and not versions & row.versions
 
 
-def _tries(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
+def _is_retrying_box(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
     boxes = [fleet.identity.box, *live_peers(fleet, now)]
     return rendezvous(row.fingerprint, boxes, 1)[0] == fleet.identity.box
 
 
-def newly_kept(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
+def update_quarantine(fleet: Fleet, row: SuspectRequest, now: Millis) -> bool:
     """Update a content's quarantine; return whether it is newly quarantined."""
-    if not is_kept_back(row):
+    if not is_quarantined(row):
         return False
     row.quarantined_by = row.quarantined_by or fleet.identity.box
     new = row.quarantined_at < 0 or row.quarantined_at <= row.cleared_at
@@ -191,7 +195,9 @@
     return new
 
 
-def take_suspect(fleet: Fleet, received: SuspectRequest, now: Millis) -> SuspectRequest:
+def merge_suspect(
+    fleet: Fleet, received: SuspectRequest, now: Millis
+) -> SuspectRequest:
     """Merge a suspect from a peer or the store; return the resulting row."""
     row = fleet.suspect_requests.get(received.fingerprint)
     if row is None:
@@ -201,15 +207,15 @@
             cleared_at=fleet.last_completed.get(received.fingerprint, Millis(-1)),
             changed_at=now,
         )
-        _make_room(fleet)
+        _evict_suspects(fleet)
     before = (set(row.ends), row.recorded, row.quarantined_by)
     # Reported times are derived from ages and inexact, so known times are kept.
     row.ends = received.ends | row.ends
     row.service = row.service or received.service
     row.versions |= received.versions
     row.recorded |= received.recorded
-    row.quarantined_by = _first(row.quarantined_by, received.quarantined_by)
-    cleared_later = received.cleared_at > row.cleared_at + _SAME_MS
+    row.quarantined_by = _first_box(row.quarantined_by, received.quarantined_by)
+    cleared_later = received.cleared_at > row.cleared_at + _SAME_EVENT_MS
     if cleared_later:
         row.cleared_at = received.cleared_at
     row.shared = True
@@ -218,11 +224,11 @@
     return row
 
 
-def _first(first: BoxId, second: BoxId) -> BoxId:
+def _first_box(first: BoxId, second: BoxId) -> BoxId:
     return min(first, second) if first and second else first or second
 
 
-def told_suspects(
+def suspects_to_send(
     fleet: Fleet, now: Millis, peer_digest: int | None
 ) -> list[SuspectRequest]:
     """Return the suspects to send to a peer.
@@ -234,28 +240,30 @@
     now : int
         The time, in ms.
     peer_digest : int or None
-        The receiving peer's :func:`kept_digest`; None if it is unknown.
+        The receiving peer's :func:`quarantine_digest`; None if it is unknown.
     """
     shared = [row for row in fleet.suspect_requests.values() if row.shared]
-    recent = [row for row in shared if now - row.changed_at <= TOLD_MS]
+    recent = [row for row in shared if now - row.changed_at <= CHANGE_SENT_MS]
     recent.sort(key=lambda row: (-len(row.counted_ends()), -row.changed_at))
-    selected = recent[:TOLD_MOST]
-    if peer_digest is not None and peer_digest != kept_digest(fleet):
+    selected = recent[:MAX_SUSPECTS_SENT]
+    if peer_digest is not None and peer_digest != quarantine_digest(fleet):
         selected_names = {row.fingerprint for row in selected}
         others = [
-            row for row in kept_contents(fleet) if row.fingerprint not in selected_names
+            row
+            for row in quarantined_requests(fleet)
+            if row.fingerprint not in selected_names
         ]
-        selected += others[:KEPT_TOLD_MOST]
+        selected += others[:MAX_QUARANTINED_SENT]
     return selected
 
 
-def kept_digest(fleet: Fleet) -> int:
+def quarantine_digest(fleet: Fleet) -> int:
     """Return a checksum that is equal at boxes with the same quarantined contents."""
-    fingerprints = sorted(row.fingerprint for row in kept_contents(fleet))
+    fingerprints = sorted(row.fingerprint for row in quarantined_requests(fleet))
     return zlib.crc32("\n".join(fingerprints).encode()) if fingerprints else 0
 
 
-def due_records(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
+def quarantines_to_record(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
     """Return the quarantined contents that this box must record in the store now.
 
     The box that quarantined a content records it. If that box is not heard, the first
@@ -264,15 +272,15 @@
     heard = live_peers(fleet, now)
     return [
         row
-        for row in kept_contents(fleet)
+        for row in quarantined_requests(fleet)
         if row.quarantined_at >= 0
         and (not row.recorded or row.dropped_at >= 0)
-        and now >= row.quarantined_at + RECORD_AFTER_MS
-        and _records(fleet, row, heard)
+        and now >= row.quarantined_at + RECORD_DELAY_MS
+        and _is_recording_box(fleet, row, heard)
     ]
 
 
-def due_drops(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
+def records_to_remove(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
     """Return the recorded contents that were cleared or released since.
 
     Without the removal of its record, a box that starts would quarantine them again.
@@ -283,31 +291,35 @@
         for row in fleet.suspect_requests.values()
         if row.recorded
         and row.dropped_at < 0 <= row.cleared_at
-        and len(row.counted_ends()) < ENDS_MOST
-        and _records(fleet, row, heard)
+        and len(row.counted_ends()) < QUARANTINE_ENDS
+        and _is_recording_box(fleet, row, heard)
     ]
 
 
-def _records(fleet: Fleet, row: SuspectRequest, heard: list[BoxId]) -> bool:
+def _is_recording_box(fleet: Fleet, row: SuspectRequest, heard: list[BoxId]) -> bool:
     if row.quarantined_by in heard:
         return False
     return fleet.identity.box in (row.quarantined_by, min([fleet.identity.box, *heard]))
 
 
-def forget_suspects(fleet: Fleet, now: Millis) -> None:
+def expire_suspects(fleet: Fleet, now: Millis) -> None:
     """Remove the suspects that did not change for long."""
-    quarantined = {row.fingerprint for row in kept_contents(fleet)}
+    quarantined = {row.fingerprint for row in quarantined_requests(fleet)}
     for fingerprint, row in list(fleet.suspect_requests.items()):
         if now - row.changed_at > (
-            FORGOTTEN_MS if fingerprint in quarantined else SUSPECTED_MS
+            QUARANTINE_EXPIRY_MS if fingerprint in quarantined else SUSPECT_EXPIRY_MS
         ):
             del fleet.suspect_requests[fingerprint]
 
 
-def _make_room(fleet: Fleet) -> None:
-    while len(fleet.suspect_requests) > SUSPECTS_MOST:
+def _evict_suspects(fleet: Fleet) -> None:
+    while len(fleet.suspect_requests) > MAX_SUSPECTS:
         rows: t.Iterable[SuspectRequest] = fleet.suspect_requests.values()
         oldest = min(
-            rows, key=lambda row: (len(row.counted_ends()) >= ENDS_MOST, row.changed_at)
+            rows,
+            key=lambda row: (
+                len(row.counted_ends()) >= QUARANTINE_ENDS,
+                row.changed_at,
+            ),
         )
         del fleet.suspect_requests[oldest.fingerprint]
--- a/src/spanshunt/systems/recognising.py
+++ b/src/spanshunt/systems/recognising.py
@@ -15,7 +15,7 @@
 1.5e-21."""
 
 
-def fingerprint_of(
+def compute_fingerprint(
     org: OrgId, method: str, host: str, target: str, body: bytes, key: str = ""
 ) -> Fingerprint:
     """Return the fingerprint of a request's content.
--- a/src/spanshunt/systems/repeats.py
+++ b/src/spanshunt/systems/repeats.py
@@ -14,15 +14,15 @@
 from ..tables.fleet import Traffic
 from ..tables.fleet import TrafficSecond
 
-RATIO_USED = 0.85
+RATIO_SHARE = 0.85
 """Part of the allowed ratio that is used. The rest covers requests that a box counted
 for a service which another catalog version names differently."""
 
-SLACK_USED = 0.6
+SLACK_SHARE = 0.6
 """Part of the slack that is shared out, as a box that restarts begins with a new
 share."""
 
-CHOICE_PART = 0.8
+QUALITY_SHARE = 0.8
 """Part of the budget that repeats for quality may use; the rest is kept for
 failures."""
 
@@ -38,17 +38,17 @@
         Repeats in the window in addition to those.
     window_s : int
         Length of the window, in s.
-    least_boxes : int
+    min_boxes : int
         Minimum number of boxes that share the slack, used while few peers are known.
     """
 
     ratio: float = 0.2
     slack: float = 10.0
     window_s: int = 10
-    least_boxes: int = 6
+    min_boxes: int = 6
 
 
-class Allowance(msgspec.Struct, frozen=True):
+class RepeatAllowance(msgspec.Struct, frozen=True):
     """Numbers of requests, repeats and allowed repeats of a service in the window."""
 
     requests: int
@@ -56,17 +56,17 @@
     allowed: float
 
 
-def note_request(fleet: Fleet, service: ServiceId, now: Millis) -> None:
+def count_request(fleet: Fleet, service: ServiceId, now: Millis) -> None:
     """Count a request for `service`."""
-    _second(fleet, service, now).requests += 1
+    _current_second(fleet, service, now).requests += 1
 
 
-def note_repeat(fleet: Fleet, service: ServiceId, now: Millis) -> None:
+def count_repeat(fleet: Fleet, service: ServiceId, now: Millis) -> None:
     """Count an arrival at `service` beyond the first of its request."""
-    _second(fleet, service, now).repeats += 1
+    _current_second(fleet, service, now).repeats += 1
 
 
-def take_back_repeat(fleet: Fleet, service: ServiceId, at: Millis) -> None:
+def uncount_repeat(fleet: Fleet, service: ServiceId, at: Millis) -> None:
     """Uncount an arrival counted at `at` that did not reach a worker."""
     for second in fleet.traffic[service].seconds:
         if second.number == at // 1_000:
@@ -88,29 +88,29 @@
     """
     if service not in fleet.traffic:
         return True
-    used = allowance(fleet, service, now, bounds)
-    share = CHOICE_PART if for_quality else 1.0
+    used = repeat_allowance(fleet, service, now, bounds)
+    share = QUALITY_SHARE if for_quality else 1.0
     return used.repeats + 1 <= share * used.allowed
 
 
-def allowance(
+def repeat_allowance(
     fleet: Fleet, service: ServiceId, now: Millis, bounds: RepeatBounds
-) -> Allowance:
+) -> RepeatAllowance:
     """Return this box's requests and repeats of `service`, and the allowed ones."""
     oldest = now // 1_000 - bounds.window_s
     traffic = fleet.traffic.get(service, Traffic())
     recent = [second for second in traffic.seconds if second.number >= oldest]
     requests = sum(second.requests for second in recent)
-    boxes = max(bounds.least_boxes, len(fleet.peers) + 1)
-    return Allowance(
+    boxes = max(bounds.min_boxes, len(fleet.peers) + 1)
+    return RepeatAllowance(
         requests=requests,
         repeats=sum(second.repeats for second in recent),
-        allowed=RATIO_USED * bounds.ratio * requests
-        + SLACK_USED * bounds.slack / boxes,
+        allowed=RATIO_SHARE * bounds.ratio * requests
+        + SLACK_SHARE * bounds.slack / boxes,
     )
 
 
-def _second(fleet: Fleet, service: ServiceId, now: Millis) -> TrafficSecond:
+def _current_second(fleet: Fleet, service: ServiceId, now: Millis) -> TrafficSecond:
     traffic = fleet.traffic.get(service)
     if traffic is None:
         traffic = fleet.traffic[service] = Traffic()
--- a/src/spanshunt/systems/silence.py
+++ b/src/spanshunt/systems/silence.py
@@ -16,20 +16,20 @@
 from ..tables.fleet import Fleet
 from ..utils import unit_hash
 
-WITNESSES = 2
+MIN_REPORTERS = 2
 """Boxes that must have found a worker silent; a single box also reports busy
 workers."""
 
-COUNTS_MS = 2_500
+REPORT_VALID_MS = 2_500
 """How long a report is valid at most, in ms. Each box ignores it after a time of its
 own within this limit, so that only a few boxes at a time test whether the worker is
 back."""
 
-COUNTS_LEAST_PART = 0.4
+MIN_VALID_SHARE = 0.4
 """Smallest part of that time for which a report is valid."""
 
 
-class Silence(msgspec.Struct, frozen=True):
+class SilenceReport(msgspec.Struct, frozen=True):
     """A report that a worker was silent to a box, and when, in ms."""
 
     worker: WorkerId
@@ -37,9 +37,9 @@
     at: Millis
 
 
-def note_silence(fleet: Fleet, report: Silence, now: Millis) -> bool:
+def record_silence(fleet: Fleet, report: SilenceReport, now: Millis) -> bool:
     """Record a report unless it is too old; return whether it is new to this box."""
-    if now - report.at >= COUNTS_MS or report.worker not in fleet.workers.rows:
+    if now - report.at >= REPORT_VALID_MS or report.worker not in fleet.workers.rows:
         return False
     reports = fleet.silence_reports.setdefault(report.worker, {})
     if reports.get(report.box, Millis(-1)) >= report.at:
@@ -48,23 +48,25 @@
     return True
 
 
-def forget_silences(fleet: Fleet, now: Millis) -> None:
+def expire_silence_reports(fleet: Fleet, now: Millis) -> None:
     """Remove the reports that are no longer valid at any box."""
     for worker, reports in list(fleet.silence_reports.items()):
         for box, at in list(reports.items()):
-            if now - at >= COUNTS_MS:
+            if now - at >= REPORT_VALID_MS:
                 del reports[box]
         if not reports:
             del fleet.silence_reports[worker]
 
 
-def newest_silences(fleet: Fleet, now: Millis) -> tuple[Silence, ...]:
+def newest_silence_reports(fleet: Fleet, now: Millis) -> tuple[SilenceReport, ...]:
     """Return the newest reports of each worker, as many as peers need to exclude it."""
-    forget_silences(fleet, now)
-    newest: list[Silence] = []
+    expire_silence_reports(fleet, now)
+    newest: list[SilenceReport] = []
     for worker, reports in fleet.silence_reports.items():
         ordered = sorted(reports.items(), key=lambda report: -report[1])
-        newest += [Silence(worker, box, at) for box, at in ordered[:WITNESSES]]
+        newest += [
+            SilenceReport(worker, box, at) for box, at in ordered[:MIN_REPORTERS]
+        ]
     return tuple(newest)
 
 
@@ -80,8 +82,8 @@
     if row is None or not reports:
         return False
     fraction = unit_hash("silence", f"{fleet.identity.box}/{worker}")
-    valid_ms = COUNTS_MS * (COUNTS_LEAST_PART + (1 - COUNTS_LEAST_PART) * fraction)
+    valid_ms = REPORT_VALID_MS * (MIN_VALID_SHARE + (1 - MIN_VALID_SHARE) * fraction)
     reporter_count = sum(
         at > row.last_byte_at and now - at < valid_ms for at in reports.values()
     )
-    return reporter_count >= WITNESSES
+    return reporter_count >= MIN_REPORTERS
--- a/src/spanshunt/systems/throttling.py
+++ b/src/spanshunt/systems/throttling.py
@@ -21,32 +21,32 @@
 from .fleet_size import is_discovery_finished
 from .fleet_size import stagger_fraction
 
-GRANTED_PART = 0.9
+GRANTED_SHARE = 0.9
 """Part of the rate that boxes share out. The rest is a reserve for boxes that disagree
 on the number of boxes, or learn of the limit at different times."""
 
-GRANT_MS = 1_500
+GRANT_VALID_MS = 1_500
 """How long a grant is valid, in ms. Grants of 4 s, and those still valid from before,
 amount to 5.5 s of the rate. A worker tolerates 6 s of its rate, and five requests, in
 4 s."""
 
-LEAST_PER_S = 0.25
+MIN_RATE_PER_S = 0.25
 """Requests a second that boxes send at least, even if the worker takes fewer or none.
 Otherwise no box would learn that it takes more again."""
 
-YOUNG_MS = 500
+EAGER_ONLY_MS = 500
 """How long a grant is reserved for eager requests, in ms. A grant that is still unused
 after that shows that grants are not scarce."""
 
-WORDS_TOLD = 16
+MAX_LIMITS_SENT = 16
 """Maximum number of limits sent in one message to a peer, newest first."""
 
-END_TOLD_MS = 5_000
+REVOCATION_SENT_MS = 5_000
 """How long boxes tell each other that a worker no longer names a limit, in ms. All of
 them learn it within a few rounds of gossip."""
 
 
-class HeardLimit(msgspec.Struct, frozen=True):
+class WorkerLimit(msgspec.Struct, frozen=True):
     """A worker and the newest rate limit that this box knows for it."""
 
     worker: WorkerRow
@@ -58,7 +58,7 @@
     return row.limit is not None and row.limit.per_s is not None
 
 
-def take_limit(fleet: Fleet, row: WorkerRow, limit: RateLimit, now: Millis) -> bool:
+def apply_limit(fleet: Fleet, row: WorkerRow, limit: RateLimit, now: Millis) -> bool:
     """Apply a limit unless a newer one is known; return whether the rate changes.
 
     The absence of a limit is recorded only for a worker that has named one.
@@ -72,11 +72,11 @@
     if limit.per_s is None:
         row.rate_limiter = None
     else:
-        _refresh(fleet, row, limit.per_s, now)
+        _refresh_limiter(fleet, row, limit.per_s, now)
     return known is None or known.per_s != limit.per_s
 
 
-def is_over(row: WorkerRow, sent: Millis) -> bool:
+def revokes_limit(row: WorkerRow, sent: Millis) -> bool:
     """Return whether an answer without a limit revokes the known one.
 
     The answer to a request that was sent before that limit arrived may be older than
@@ -86,13 +86,13 @@
     return known is not None and known.per_s is not None and sent > known.at
 
 
-def forget_limit(row: WorkerRow, now: Millis) -> None:
+def clear_limit(row: WorkerRow, now: Millis) -> None:
     """Clear the limit of a worker that ended, and ignore older reports of it."""
     row.limit = row.rate_limiter = None
     row.notices_since = now
 
 
-def has_limits(fleet: Fleet, service: ServiceId) -> bool:
+def has_limited_workers(fleet: Fleet, service: ServiceId) -> bool:
     """Return whether any worker of a service names a rate limit."""
     return any(is_limited(row) for row in fleet.workers.find_capable(service, None))
 
@@ -102,33 +102,33 @@
     limit = row.limit
     assert limit is not None
     assert limit.per_s is not None
-    limiter = _refresh(fleet, row, limit.per_s, now)
+    limiter = _refresh_limiter(fleet, row, limit.per_s, now)
     grant_at = limiter.next_grant_at
     if not is_discovery_finished(fleet, now):
         grant_at = max(grant_at, fleet.discovery_until)
-    reserved_ms = 0 if eager else YOUNG_MS
+    reserved_ms = 0 if eager else EAGER_ONLY_MS
     return Millis(math.ceil(max(0.0, grant_at + reserved_ms - now)))
 
 
-def note_sent(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
+def use_grant(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
     """Use up the oldest grant for a request that this box sends to a worker."""
     if row.limit is not None and row.limit.per_s is not None:
-        limiter = _refresh(fleet, row, row.limit.per_s, now)
+        limiter = _refresh_limiter(fleet, row, row.limit.per_s, now)
         limiter.next_grant_at += limiter.period_ms
 
 
-def newest_limits(fleet: Fleet, now: Millis) -> list[HeardLimit]:
+def limits_to_send(fleet: Fleet, now: Millis) -> list[WorkerLimit]:
     """Return the newest limits to send to peers, and those revoked recently."""
     limits = [
-        HeardLimit(row, row.limit)
+        WorkerLimit(row, row.limit)
         for row in fleet.workers.rows.values()
         if row.limit is not None
-        and (row.limit.per_s is not None or now - row.limit.at < END_TOLD_MS)
+        and (row.limit.per_s is not None or now - row.limit.at < REVOCATION_SENT_MS)
     ]
-    return sorted(limits, key=lambda known: -known.limit.at)[:WORDS_TOLD]
+    return sorted(limits, key=lambda known: -known.limit.at)[:MAX_LIMITS_SENT]
 
 
-def take_told_limit(
+def apply_peer_limit(
     fleet: Fleet, worker: WorkerId, born: Millis, limit: RateLimit, now: Millis
 ) -> WorkerRow | None:
     """Apply a limit that a peer reports; return the worker's row if its rate changes.
@@ -139,12 +139,14 @@
     row = fleet.workers.rows.get(worker)
     if row is None or row.born != born or limit.at < row.notices_since:
         return None
-    return row if take_limit(fleet, row, limit, now) else None
+    return row if apply_limit(fleet, row, limit, now) else None
 
 
-def _refresh(fleet: Fleet, row: WorkerRow, per_s: float, now: Millis) -> RateLimiter:
+def _refresh_limiter(
+    fleet: Fleet, row: WorkerRow, per_s: float, now: Millis
+) -> RateLimiter:
     """Return a worker's limiter, updated for this time, rate and number of boxes."""
-    rate = GRANTED_PART * max(LEAST_PER_S, per_s)
+    rate = GRANTED_SHARE * max(MIN_RATE_PER_S, per_s)
     period_ms = 1_000 * box_count(fleet) / rate
     limiter = row.rate_limiter
     if limiter is None:
@@ -155,7 +157,7 @@
         remaining_ms = max(0.0, limiter.next_grant_at - now)
         limiter.next_grant_at += remaining_ms * (period_ms / limiter.period_ms - 1)
         limiter.period_ms = period_ms
-    expired_ms = now - GRANT_MS - limiter.next_grant_at
+    expired_ms = now - GRANT_VALID_MS - limiter.next_grant_at
     if expired_ms > 0:
         limiter.next_grant_at += math.ceil(expired_ms / period_ms) * period_ms
     return limiter
--- a/src/spanshunt/systems/timing.py
+++ b/src/spanshunt/systems/timing.py
@@ -7,20 +7,20 @@
 from ..tables.fleet import Fleet
 from ..tables.workers import WorkerRow
 
-FIRST_FACTOR = 5.0
+FIRST_BYTE_FACTOR = 5.0
 """Multiple of the usual time to the first byte after which a request is sent elsewhere,
 if that is possible. Within a batch, times vary by a factor of about three."""
 
-FIRST_AIM_PART = 0.55
+MIN_TARGET_SHARE = 0.55
 """The first byte is awaited for at least this part of the route's target latency. The
 rest must be enough for an answer from elsewhere."""
 
-UNKNOWN_AIM_PART = 1.2
+UNKNOWN_TARGET_SHARE = 1.2
 """The first byte is awaited for this part of the target latency if no usual time is
 known. After a restart of all boxes, engines are busy with requests that callers
 repeat."""
 
-GAP_LEAST_MS = 950
+MIN_GAP_MS = 950
 """A shorter gap in a stream is not treated as a stall, in ms. An engine that prefills
 long prompts between the tokens of others takes nearly as long for an event, and a
 stream that is resumed elsewhere is prefilled again there."""
@@ -36,24 +36,26 @@
 SLOW_FACTOR = 3.0
 """An answer counts as slow if its first byte took this many times the usual time."""
 
-SLOW_LEAST_MS = 400.0
+MIN_SLOW_MS = 400.0
 """Answers faster than this never count as slow, in ms."""
 
 _SMOOTHING = 0.05
 
 
-def first_limit_ms(fleet: Fleet, route: RouteRow, model: ModelId, read: int) -> float:
+def first_byte_timeout_ms(
+    fleet: Fleet, route: RouteRow, model: ModelId, read: int
+) -> float:
     """Return how long to wait for the first byte of a silent worker, in ms."""
-    usual = usual_first_ms(fleet, route, model, read)
+    usual = usual_first_byte_ms(fleet, route, model, read)
     if usual <= 0.0:
-        return UNKNOWN_AIM_PART * route.target_latency_ms
-    return max(FIRST_AIM_PART * route.target_latency_ms, FIRST_FACTOR * usual)
+        return UNKNOWN_TARGET_SHARE * route.target_latency_ms
+    return max(MIN_TARGET_SHARE * route.target_latency_ms, FIRST_BYTE_FACTOR * usual)
 
 
-def gap_limit_ms(route: RouteRow) -> float:
+def gap_timeout_ms(route: RouteRow) -> float:
     """Return how long to wait for the next bytes of a silent worker's stream, in ms."""
     return max(
-        GAP_LEAST_MS, FIRST_AIM_PART * (route.target_gap_ms or route.target_latency_ms)
+        MIN_GAP_MS, MIN_TARGET_SHARE * (route.target_gap_ms or route.target_latency_ms)
     )
 
 
@@ -62,7 +64,9 @@
     return now - worker.last_byte_at < ALIVE_MS
 
 
-def usual_first_ms(fleet: Fleet, route: RouteRow, model: ModelId, read: int) -> float:
+def usual_first_byte_ms(
+    fleet: Fleet, route: RouteRow, model: ModelId, read: int
+) -> float:
     """Return the usual time to the first byte of a prompt of `read` tokens, in ms."""
     usual = fleet.first_byte_times.get((route.name, model))
     if usual is None:
@@ -70,15 +74,15 @@
     return usual.first_ms * max(1.0, read / max(1.0, usual.read))
 
 
-def is_slow(
+def is_slow_first_byte(
     fleet: Fleet, route: RouteRow, model: ModelId, read: int, first_ms: float
 ) -> bool:
     """Return whether the first byte of an answer was much slower than usual."""
-    usual = usual_first_ms(fleet, route, model, read)
-    return usual > 0.0 and first_ms > max(SLOW_LEAST_MS, SLOW_FACTOR * usual)
+    usual = usual_first_byte_ms(fleet, route, model, read)
+    return usual > 0.0 and first_ms > max(MIN_SLOW_MS, SLOW_FACTOR * usual)
 
 
-def note_first_time(
+def learn_first_byte_time(
     fleet: Fleet, route: RouteRow, model: ModelId, read: int, first_ms: float
 ) -> None:
     """Update the route's means with a time to the first byte.
@@ -91,7 +95,7 @@
     if usual is None:
         fleet.first_byte_times[key] = FirstByteTimes(first_ms, read)
         return
-    bound = max(SLOW_LEAST_MS, SLOW_FACTOR * usual.first_ms)
+    bound = max(MIN_SLOW_MS, SLOW_FACTOR * usual.first_ms)
     usual.answers += 1
     step = max(_SMOOTHING, 1.0 / usual.answers)
     usual.first_ms += step * (min(first_ms, bound) - usual.first_ms)
--- a/src/spanshunt/systems/warming.py
+++ b/src/spanshunt/systems/warming.py
@@ -15,12 +15,12 @@
 from .fleet_size import box_count
 from .fleet_size import is_discovery_finished
 
-BOUND_PART = 1 / 3
+PLANNED_SHARE = 1 / 3
 """Part of the allowed rate of a cold worker that boxes plan to use. The rest covers two
 requests of one box that arrive within one second, and random variation in the number of
 boxes that the hash selects."""
 
-PACE_MS = 1_000
+MIN_SEND_INTERVAL_MS = 1_000
 """Shortest interval between two requests of one box to the same cold worker, in ms, if
 there are many boxes. Each box then counts once in any second."""
 
@@ -42,17 +42,17 @@
         return False
     if unit_hash("cold", row.name, fleet.identity.box) >= rate / boxes:
         return False
-    interval_ms = PACE_MS * min(1.0, boxes / rate)
+    interval_ms = MIN_SEND_INTERVAL_MS * min(1.0, boxes / rate)
     return row.cold_sent_at < 0 or now >= row.cold_sent_at + interval_ms
 
 
-def note_sent(row: WorkerRow, now: Millis) -> None:
+def record_cold_send(row: WorkerRow, now: Millis) -> None:
     """Record that this box sends a request to a worker."""
     if is_cold(row, now):
         row.cold_sent_at = now
 
 
-def note_started(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
+def mark_cold(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
     """Mark a worker as cold that may have just started; its entry may say so later."""
     catalog = fleet.catalog
     service = catalog.services.get(row.service) if catalog is not None else None
@@ -68,4 +68,4 @@
         return 0.0
     bounds = fleet.cold_bounds
     max_rate = service.cold_per_s * bounds.rate_factor + bounds.slack
-    return min(service.cold_per_s, BOUND_PART * max_rate)
+    return min(service.cold_per_s, PLANNED_SHARE * max_rate)
--- a/src/spanshunt/worker_notices.py
+++ b/src/spanshunt/worker_notices.py
@@ -15,11 +15,11 @@
 from .peers.news import News
 from .ports import Answer
 from .systems.following_workers import record_leaving_notice
-from .systems.resting import note_rest
+from .systems.resting import extend_rest
 from .systems.resting import rest_left_ms
-from .systems.throttling import is_over
-from .systems.throttling import take_limit
-from .systems.throttling import take_told_limit
+from .systems.throttling import apply_limit
+from .systems.throttling import apply_peer_limit
+from .systems.throttling import revokes_limit
 from .tables.fleet import Fleet
 from .tables.notices import InvalidNotice
 from .tables.notices import LeavingNotice
@@ -57,11 +57,11 @@
     worker = attempt.worker
     if notice.is_invalid(NoticeKind.LIMIT):
         return
-    if notice.per_s is None and not is_over(worker, attempt.sent):
+    if notice.per_s is None and not revokes_limit(worker, attempt.sent):
         return
     limit = RateLimit(notice.per_s, core.clock.now(), core.fleet.identity.box)
     before = worker.limit
-    if take_limit(core.fleet, worker, limit, limit.at):
+    if apply_limit(core.fleet, worker, limit, limit.at):
         core.count("worker_limits")
         log_limit(worker, before, request=state.request)
 
@@ -79,7 +79,7 @@
     core: Core, state: CatalogRequest, worker: WorkerRow, rest_ms: Millis
 ) -> None:
     """Take in that a worker turned this box away and asks it for rest."""
-    if not note_rest(worker, rest_ms, core.clock.now()):
+    if not extend_rest(worker, rest_ms, core.clock.now()):
         return
     core.count("worker_rests")
     log_event(
@@ -166,7 +166,7 @@
         limit = RateLimit(per_s, at, told.source)
         row = fleet.workers.rows.get(told.worker)
         before = row.limit if row is not None else None
-        changed = take_told_limit(fleet, told.worker, Millis(told.born), limit, now)
+        changed = apply_peer_limit(fleet, told.worker, Millis(told.born), limit, now)
         if changed is not None:
             log_limit(changed, before)
 
--- a/tests/test_evacuating.py
+++ b/tests/test_evacuating.py
@@ -20,9 +20,9 @@
 from spanshunt.peers.news_rows import told_evacuation
 from spanshunt.platform import wire
 from spanshunt.standins.store import EndpointFault
-from spanshunt.systems.evacuating import is_emptied
-from spanshunt.systems.evacuating import take_absent
-from spanshunt.systems.evacuating import take_evacuation
+from spanshunt.systems.evacuating import apply_evacuation
+from spanshunt.systems.evacuating import is_evacuated
+from spanshunt.systems.evacuating import revoke_unlisted
 from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
@@ -54,32 +54,32 @@
 def test_workers_of_an_emptied_domain_get_nothing():
     fleet = two_domains()
     assert chosen(fleet) == "w-north"
-    assert take_evacuation(fleet, word(5, True), ms(1))
+    assert apply_evacuation(fleet, word(5, True), ms(1))
     assert chosen(fleet) == "w-south"
-    assert take_evacuation(fleet, word(6, True, SOUTH), ms(1))
+    assert apply_evacuation(fleet, word(6, True, SOUTH), ms(1))
     assert chosen(fleet) is None
-    assert take_evacuation(fleet, word(7, False), ms(2))
+    assert apply_evacuation(fleet, word(7, False), ms(2))
     assert chosen(fleet) == "w-north"
 
 
 def test_older_word_changes_nothing_wherever_it_comes_from():
     fleet = two_domains()
-    take_evacuation(fleet, word(7, False), ms(1))
-    assert not take_evacuation(fleet, word(5, True), ms(2))
-    assert not is_emptied(fleet, NORTH)
-    assert take_evacuation(fleet, word(9, True), ms(3))
-    assert not take_evacuation(fleet, word(9, True), ms(4))
-    assert is_emptied(fleet, NORTH)
+    apply_evacuation(fleet, word(7, False), ms(1))
+    assert not apply_evacuation(fleet, word(5, True), ms(2))
+    assert not is_evacuated(fleet, NORTH)
+    assert apply_evacuation(fleet, word(9, True), ms(3))
+    assert not apply_evacuation(fleet, word(9, True), ms(4))
+    assert is_evacuated(fleet, NORTH)
 
 
 def test_record_that_a_whole_list_lacks_was_taken_back():
     fleet = two_domains()
-    take_evacuation(fleet, word(5, True), ms(1))
-    assert take_absent(fleet, {NORTH}, Offset(9), ms(2)) == ()
-    assert take_absent(fleet, set(), Offset(5), ms(2)) == ()
-    assert take_absent(fleet, set(), Offset(9), ms(2)) == (NORTH,)
-    assert take_evacuation(fleet, word(9, True), ms(3))
-    assert is_emptied(fleet, NORTH)
+    apply_evacuation(fleet, word(5, True), ms(1))
+    assert revoke_unlisted(fleet, {NORTH}, Offset(9), ms(2)) == ()
+    assert revoke_unlisted(fleet, set(), Offset(5), ms(2)) == ()
+    assert revoke_unlisted(fleet, set(), Offset(9), ms(2)) == (NORTH,)
+    assert apply_evacuation(fleet, word(9, True), ms(3))
+    assert is_evacuated(fleet, NORTH)
 
 
 def test_domain_that_is_given_back_has_cold_workers():
@@ -88,18 +88,18 @@
         b'"Engine":', b'"ColdStartS": 3.0, "ColdPerS": 10.0, "Engine":'
     )
     fleet.catalog = wire.decode_catalog(catalog).ok_value
-    take_evacuation(fleet, word(5, True), ms(1))
-    take_evacuation(fleet, word(6, False), ms(8))
+    apply_evacuation(fleet, word(5, True), ms(1))
+    apply_evacuation(fleet, word(6, False), ms(8))
     assert is_cold(fleet.workers.rows["w-north"], ms(10.9))
     assert not is_cold(fleet.workers.rows["w-south"], ms(8.1))
 
 
 def test_peers_tell_each_other():
     fleet, peer = two_domains(), two_domains()
-    take_evacuation(fleet, word(5, True), ms(1))
+    apply_evacuation(fleet, word(5, True), ms(1))
     for item in evacuations_news(fleet):
-        assert take_evacuation(peer, told_evacuation(item), ms(2))
-    assert is_emptied(peer, NORTH)
+        assert apply_evacuation(peer, told_evacuation(item), ms(2))
+    assert is_evacuated(peer, NORTH)
 
 
 async def test_boxes_heed_the_record_and_one_that_the_store_turns_away_hears_it():
@@ -114,7 +114,7 @@
         await fleet.store.put("keyed.op", "evacuate/north", {})
         for box in fleet.boxes:
             await until(
-                lambda box=box: is_emptied(box.node.fleet, NORTH), "north is emptied"
+                lambda box=box: is_evacuated(box.node.fleet, NORTH), "north is emptied"
             )
             seen = {name: len(w.seen) for name, w in fleet.workers.items()}
             reply = await fleet.ask(box, "/long/a", body=b"x")
@@ -126,7 +126,7 @@
         await fleet.store.put("keyed.op", "evacuate/north", None)
         for box in fleet.boxes:
             await until(
-                lambda box=box: not is_emptied(box.node.fleet, NORTH), "given back"
+                lambda box=box: not is_evacuated(box.node.fleet, NORTH), "given back"
             )
             assert (await fleet.ask(box, "/look/a")).status == 200
 
@@ -136,7 +136,7 @@
         box = fleet.boxes[0]
         await fleet.store.put("keyed.op", "evacuate/nowhere", {})
         await until(
-            lambda: is_emptied(box.node.fleet, DomainId("nowhere")), "the record"
+            lambda: is_evacuated(box.node.fleet, DomainId("nowhere")), "the record"
         )
         assert (await fleet.ask(box, "/look/a")).status == 200
 
@@ -146,4 +146,4 @@
         await fleet.store.put("keyed.op", "evacuate/north", {})
         late = await fleet.add_box()
         await until(lambda: not late.node.why_not_ready(), "it is ready")
-        assert is_emptied(late.node.fleet, NORTH)
+        assert is_evacuated(late.node.fleet, NORTH)
--- a/tests/test_fleet_report.py
+++ b/tests/test_fleet_report.py
@@ -20,15 +20,15 @@
 from spanshunt.ids import ServiceId
 from spanshunt.ids import VersionId
 from spanshunt.standins.worker import WorkerFault
-from spanshunt.systems.evacuating import take_evacuation
-from spanshunt.systems.quarantining import newly_kept
-from spanshunt.systems.quarantining import note_end_under
+from spanshunt.systems.evacuating import apply_evacuation
+from spanshunt.systems.quarantining import record_end_during
+from spanshunt.systems.quarantining import update_quarantine
 from spanshunt.systems.ramping import apply_order
 from spanshunt.systems.ramping import bar_versions
 from spanshunt.systems.repeats import RepeatBounds
-from spanshunt.systems.repeats import note_repeat
-from spanshunt.systems.repeats import note_request
-from spanshunt.systems.worker_health import note_unreached
+from spanshunt.systems.repeats import count_repeat
+from spanshunt.systems.repeats import count_request
+from spanshunt.systems.worker_health import record_unreachable
 from spanshunt.tables.fleet import EvacuationRow
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
@@ -51,7 +51,7 @@
 def test_says_why_each_worker_is_out():
     fleet = with_workers("a", "b", "c", "d")
     fleet.workers.leaving.add("a")
-    note_unreached(fleet.workers.rows["b"], ms(100))
+    record_unreachable(fleet.workers.rows["b"], ms(100))
     fleet.missing_workers.add("c")
     out = {row.worker: row.out for row in view_of(fleet).workers}
     assert out["a"] == "leaving"
@@ -81,8 +81,8 @@
 def test_budget_of_repeats_and_peers():
     fleet = make_fleet()
     for _ in range(10):
-        note_request(fleet, WRITER, ms(99))
-    note_repeat(fleet, WRITER, ms(99))
+        count_request(fleet, WRITER, ms(99))
+    count_repeat(fleet, WRITER, ms(99))
     fleet.peers[BoxId("x")] = PeerRow(
         BoxId("x"), "x:1", DomainId("south"), heard=ms(98), served=False
     )
@@ -141,8 +141,8 @@
     for number in range(3):
         assert not view_of(fleet).kept_back
         row = make_worker(f"w-{number}")
-        known = note_end_under(fleet, Fingerprint("f"), WRITER, row, ms(number))
-    assert newly_kept(fleet, known, ms(3))
+        known = record_end_during(fleet, Fingerprint("f"), WRITER, row, ms(number))
+    assert update_quarantine(fleet, known, ms(3))
     told = view_of(fleet).kept_back[0]
     assert told.ends == ("w-0", "w-1", "w-2")
     assert told.last_end_ms == ms(98)
@@ -155,7 +155,7 @@
     cold.cold_until = ms(3)
     add_worker(fleet, make_worker("w-away", domain="south"))
     word = EvacuationRow(DomainId("south"), Offset(3), active=True)
-    take_evacuation(fleet, word, ms(1))
+    apply_evacuation(fleet, word, ms(1))
     view = fleet_view(fleet, RepeatBounds(), "", ms(1))
     out = {row.worker: row.out for row in view.workers}
     assert out["w-cold"] == "cold for 2000 ms; gets little"
--- a/tests/test_guarding.py
+++ b/tests/test_guarding.py
@@ -9,12 +9,12 @@
 from spanshunt.records import StepVerdict
 from spanshunt.systems.guarding import due_step
 from spanshunt.systems.learning import record_counts
-from spanshunt.systems.limiting import OverLimit
+from spanshunt.systems.limiting import LimitKind
 from spanshunt.systems.limiting import admit
-from spanshunt.systems.limiting import finish
-from spanshunt.systems.limiting import hear_usage
-from spanshunt.systems.limiting import tick_usage
-from spanshunt.systems.limiting import usage_rows
+from spanshunt.systems.limiting import finish_request
+from spanshunt.systems.limiting import merge_peer_usage
+from spanshunt.systems.limiting import own_usage_rows
+from spanshunt.systems.limiting import update_usage
 from spanshunt.systems.sequential import log_change_below
 from spanshunt.systems.sequential import log_evidence_above
 from spanshunt.systems.sequential import log_evidence_below
@@ -114,25 +114,25 @@
                 if rng.random() < parts[index] * 0.6:
                     refused = admit(usage, "o", limits, 3, now, now)
                     if refused is None:
-                        finish(usage, "o", 0, now)
+                        finish_request(usage, "o", 0, now)
                         admitted += now >= 20_000
             if now % 500 == 0:
                 for index, usage in enumerate(boxes):
-                    tick_usage(usage, {"o": limits}, 3, now, 500)
-                    rows = usage_rows(usage, f"box{index}")
+                    update_usage(usage, {"o": limits}, 3, now, 500)
+                    rows = own_usage_rows(usage, f"box{index}")
                     for other in boxes:
                         if other is not usage:
-                            hear_usage(other, rows, "x", now)
+                            merge_peer_usage(other, rows, "x", now)
         assert abs(admitted / 40 / 60 - 1) <= 0.05
 
     def test_budget_counts_what_others_spent(self):
         limits = Limits(budget=100)
         usage, other = Usage(), Usage()
         assert admit(other, "o", limits, 2, 0, 0) is None
-        finish(other, "o", 100, 0)
+        finish_request(other, "o", 100, 0)
         assert admit(usage, "o", limits, 2, 0, 0) is None
-        hear_usage(usage, usage_rows(other, "other"), "me", 0)
-        tick_usage(usage, {"o": limits}, 2, 0, 500)
+        merge_peer_usage(usage, own_usage_rows(other, "other"), "me", 0)
+        update_usage(usage, {"o": limits}, 2, 0, 500)
         refused = admit(usage, "o", limits, 2, 0, 0)
         assert refused is not None
-        assert refused.limit is OverLimit.BUDGET
+        assert refused.limit is LimitKind.BUDGET
--- a/tests/test_leaving_words.py
+++ b/tests/test_leaving_words.py
@@ -27,9 +27,9 @@
 from spanshunt.systems.following_workers import apply_worker_list
 from spanshunt.systems.following_workers import list_digest
 from spanshunt.systems.following_workers import record_leaving_notice
-from spanshunt.systems.resting import note_rest
+from spanshunt.systems.resting import extend_rest
 from spanshunt.systems.resting import rest_left_ms
-from spanshunt.systems.throttling import take_limit
+from spanshunt.systems.throttling import apply_limit
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.notices import LeavingNotice
 from spanshunt.tables.notices import RateLimit
@@ -199,8 +199,8 @@
     row = fleet.workers.rows["a"]
     row.born = Millis(10)
     record_leaving_notice(fleet, row, LeavingNotice(ms(1), ME))
-    take_limit(fleet, row, RateLimit(1.5, ms(1), ME), ms(1))
-    note_rest(row, Millis(60_000), ms(1))
+    apply_limit(fleet, row, RateLimit(1.5, ms(1), ME), ms(1))
+    extend_rest(row, Millis(60_000), ms(1))
     apply_worker_list(fleet, [], Offset(4), ms(2))
     assert "a" not in fleet.workers.rows
     back = make_worker("a")
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -42,12 +42,12 @@
 from spanshunt.systems.eras import offset_of
 from spanshunt.systems.eras import position_of
 from spanshunt.systems.eras import record_era
-from spanshunt.systems.evacuating import is_emptied
-from spanshunt.systems.evacuating import take_absent
-from spanshunt.systems.evacuating import take_evacuation
+from spanshunt.systems.evacuating import apply_evacuation
+from spanshunt.systems.evacuating import is_evacuated
+from spanshunt.systems.evacuating import revoke_unlisted
 from spanshunt.systems.following_workers import ListedWorker
 from spanshunt.systems.following_workers import apply_worker_list
-from spanshunt.systems.quarantining import ENDS_MOST
+from spanshunt.systems.quarantining import QUARANTINE_ENDS
 from spanshunt.systems.ramping import apply_order
 from spanshunt.systems.ramping import apply_verdict
 from spanshunt.tables.fleet import EvacuationRow
@@ -170,12 +170,12 @@
 def test_domain_whose_record_the_copy_lacks_stays_emptied_for_a_while():
     fleet = fleet_in_era()
     add_worker(fleet, make_worker("w-1"))
-    take_evacuation(fleet, EvacuationRow(NORTH, position_of(1, 9), active=True), ms(1))
+    apply_evacuation(fleet, EvacuationRow(NORTH, position_of(1, 9), active=True), ms(1))
     record_era(fleet, 2, ms(5))
-    assert take_absent(fleet, set(), position_of(2, 8), ms(5.1)) == ()
-    assert is_emptied(fleet, NORTH)
+    assert revoke_unlisted(fleet, set(), position_of(2, 8), ms(5.1)) == ()
+    assert is_evacuated(fleet, NORTH)
     later = Millis(ms(5) + OPERATOR_REWRITE_GRACE_MS)
-    assert take_absent(fleet, set(), position_of(2, 8), later) == (NORTH,)
+    assert revoke_unlisted(fleet, set(), position_of(2, 8), later) == (NORTH,)
 
 
 async def test_peer_that_has_not_heard_of_the_return_does_not_say_what_stands():
@@ -247,16 +247,16 @@
     def read() -> None:
         for domain, offset in store.active.items():
             place = position_of(store.era, offset)
-            take_evacuation(fleet, EvacuationRow(domain, place, True), Millis(now))
+            apply_evacuation(fleet, EvacuationRow(domain, place, True), Millis(now))
         end = position_of(store.era, store.end)
-        take_absent(fleet, set(store.active), end, Millis(now))
+        revoke_unlisted(fleet, set(store.active), end, Millis(now))
 
     for step, name in steps:
         now += 100
         domain = DomainId(name)
         if step in ("empty", "free"):
             expected[domain] = step == "empty"
-            take_evacuation(
+            apply_evacuation(
                 fleet, store.write(domain, active=expected[domain]), Millis(now)
             )
         elif step == "copy":
@@ -267,14 +267,14 @@
             read()
             for known, active in expected.items():
                 if active and known in fleet.evacuations:
-                    assert is_emptied(fleet, known), "it was never revoked"
+                    assert is_evacuated(fleet, known), "it was never revoked"
             for known, active in expected.items():
                 store.write(known, active=active)
         read()
     now += OPERATOR_REWRITE_GRACE_MS
     read()
     for domain, active in expected.items():
-        assert is_emptied(fleet, domain) is active
+        assert is_evacuated(fleet, domain) is active
 
 
 async def drill(fleet: TestFleet, kept: t.Any) -> None:
@@ -356,7 +356,7 @@
         kept = fleet.store.copy()
         node = fleet.boxes[0].node
         now = node.clock.now()
-        incarnations = [WorkerIncarnation(f"w-{n}") for n in range(ENDS_MOST)]
+        incarnations = [WorkerIncarnation(f"w-{n}") for n in range(QUARANTINE_ENDS)]
         row = SuspectRequest(
             Fingerprint("f" * 16), SERVICE, ends=dict.fromkeys(incarnations, now)
         )
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -19,10 +19,10 @@
 from spanshunt.systems.placing import cache_owner
 from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
-from spanshunt.systems.worker_health import Load
-from spanshunt.systems.worker_health import note_answer
-from spanshunt.systems.worker_health import note_load
-from spanshunt.systems.worker_health import note_unreached
+from spanshunt.systems.worker_health import WorkerLoad
+from spanshunt.systems.worker_health import record_answer
+from spanshunt.systems.worker_health import record_load
+from spanshunt.systems.worker_health import record_unreachable
 from spanshunt.tables.fleet import Fleet
 
 ANY_VERSION = VersionRule()
@@ -126,14 +126,14 @@
 
 def test_unreached_worker_is_excluded_for_a_limited_time():
     fleet = make_fleet_of("a", "b")
-    note_unreached(fleet.workers.rows["a"], ms(1))
+    record_unreachable(fleet.workers.rows["a"], ms(1))
     assert set(count_choices(fleet, ms(1.1))) == {"b"}
     assert "a" in count_choices(fleet, ms(9))
 
 
 def test_ejected_worker_is_used_if_there_is_no_other():
     fleet = make_fleet_of("a")
-    note_unreached(fleet.workers.rows["a"], ms(1))
+    record_unreachable(fleet.workers.rows["a"], ms(1))
     assert set(count_choices(fleet, ms(1.1))) == {"a"}
 
 
@@ -141,7 +141,7 @@
     fleet = make_fleet_of("a", "b")
     row = fleet.workers.rows["a"]
     for number in range(20):
-        note_answer(row, 50.0, good=number % 2 == 0, now=ms(1))
+        record_answer(row, 50.0, good=number % 2 == 0, now=ms(1))
     counts = count_choices(fleet, ms(2))
     assert counts["b"] == 50
 
@@ -149,15 +149,15 @@
 def test_good_answer_ends_an_ejection():
     fleet = make_fleet_of("a", "b")
     row = fleet.workers.rows["a"]
-    note_unreached(row, ms(1))
-    note_answer(row, 10.0, good=True, now=ms(1.1))
+    record_unreachable(row, ms(1))
+    record_answer(row, 10.0, good=True, now=ms(1.1))
     assert row.ejected_until == 0
 
 
 def test_report_loses_weight_with_age_and_counts_own_requests_once():
     row = make_worker("a")
     row.inflight = 2
-    note_load(row, Load(running=6, waiting=0, slots=8), ms(1))
+    record_load(row, WorkerLoad(running=6, waiting=0, slots=8), ms(1))
     fresh, old = batch_load(row, ms(1)), batch_load(row, ms(5))
     assert fresh == (2 + 4) / 8
     assert 2 / 8 <= old < 2.1 / 8
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -34,18 +34,18 @@
 from spanshunt.standins.worker import WorkerStandin
 from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import choose_worker
-from spanshunt.systems.quarantining import KEPT_MS
-from spanshunt.systems.quarantining import SUSPECTS_MOST
-from spanshunt.systems.quarantining import due_drops
-from spanshunt.systems.quarantining import due_records
-from spanshunt.systems.quarantining import may_be_sent
-from spanshunt.systems.quarantining import newly_kept
-from spanshunt.systems.quarantining import note_end_under
-from spanshunt.systems.quarantining import note_sound
-from spanshunt.systems.quarantining import release
-from spanshunt.systems.quarantining import share
-from spanshunt.systems.quarantining import take_suspect
-from spanshunt.systems.quarantining import told_suspects
+from spanshunt.systems.quarantining import MAX_SUSPECTS
+from spanshunt.systems.quarantining import QUARANTINE_MS
+from spanshunt.systems.quarantining import may_send_content
+from spanshunt.systems.quarantining import merge_suspect
+from spanshunt.systems.quarantining import quarantines_to_record
+from spanshunt.systems.quarantining import record_complete_answer
+from spanshunt.systems.quarantining import record_end_during
+from spanshunt.systems.quarantining import records_to_remove
+from spanshunt.systems.quarantining import release_suspect
+from spanshunt.systems.quarantining import share_suspect
+from spanshunt.systems.quarantining import suspects_to_send
+from spanshunt.systems.quarantining import update_quarantine
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
@@ -240,12 +240,12 @@
     """Let a worker end that had the contents named by letters."""
     row = make_worker(worker)
     for letter in contents:
-        note_end_under(fleet, Fingerprint(letter), row.service, row, ms(at))
+        record_end_during(fleet, Fingerprint(letter), row.service, row, ms(at))
 
 
 def _kept(fleet: Fleet, at: float) -> str:
     rows = sorted(fleet.suspect_requests.items())
-    return "".join(name for name, row in rows if newly_kept(fleet, row, ms(at)))
+    return "".join(name for name, row in rows if update_quarantine(fleet, row, ms(at)))
 
 
 def test_bystander_is_cleared_by_a_whole_answer():
@@ -253,11 +253,11 @@
     for number, contents in enumerate(["abcd", "abx"]):
         _end(fleet, contents, f"w-{number}", number)
         assert _kept(fleet, number) == ""
-    note_sound(fleet, Fingerprint("b"), ms(1.5))
+    record_complete_answer(fleet, Fingerprint("b"), ms(1.5))
     _end(fleet, "aby", "w-9", 2)
     assert _kept(fleet, 2) == "a"
-    assert may_be_sent(fleet, Fingerprint("b"), ms(3), under_way=False)
-    assert not may_be_sent(fleet, Fingerprint("a"), ms(3), under_way=False)
+    assert may_send_content(fleet, Fingerprint("b"), ms(3), under_way=False)
+    assert not may_send_content(fleet, Fingerprint("a"), ms(3), under_way=False)
 
 
 def test_two_contents_that_each_end_workers_are_both_kept_back():
@@ -269,7 +269,7 @@
 
 def test_whole_answer_speaks_for_a_content_for_a_minute():
     fleet = make_fleet()
-    note_sound(fleet, Fingerprint("a"), ms(10))
+    record_complete_answer(fleet, Fingerprint("a"), ms(10))
     for number in range(5):
         _end(fleet, "a", f"w-{number}", 12 + number)
     assert _kept(fleet, 20) == ""
@@ -283,13 +283,13 @@
     for number in range(3):
         _end(fleet, "a", f"w-{number}", number)
     assert _kept(fleet, 3) == "a"
-    note_sound(peer, Fingerprint("a"), ms(2.5))
+    record_complete_answer(peer, Fingerprint("a"), ms(2.5))
     for told in suspects_news(fleet, ms(3), None):
-        take_suspect(peer, told_suspect(told, ms(3)), ms(3))
-    assert may_be_sent(peer, Fingerprint("a"), ms(3), under_way=False)
+        merge_suspect(peer, told_suspect(told, ms(3)), ms(3))
+    assert may_send_content(peer, Fingerprint("a"), ms(3), under_way=False)
     for told in suspects_news(peer, ms(3.5), None):
-        take_suspect(fleet, told_suspect(told, ms(3.5)), ms(3.5))
-    assert may_be_sent(fleet, Fingerprint("a"), ms(4), under_way=False)
+        merge_suspect(fleet, told_suspect(told, ms(3.5)), ms(3.5))
+    assert may_send_content(fleet, Fingerprint("a"), ms(4), under_way=False)
 
 
 def _kept_in(*boxes: Fleet) -> Fingerprint:
@@ -309,27 +309,27 @@
 def test_one_box_tries_once_more_when_its_time_is_over():
     boxes = [make_fleet(f"box-{number}") for number in range(5)]
     content = _kept_in(*boxes)
-    late = Millis(ms(2) + KEPT_MS)
+    late = Millis(ms(2) + QUARANTINE_MS)
     for fleet in boxes:
         for peer in fleet.peers.values():
             peer.heard = late
-    tries = [may_be_sent(fleet, content, late, under_way=False) for fleet in boxes]
+    tries = [may_send_content(fleet, content, late, under_way=False) for fleet in boxes]
     assert tries.count(True) == 1
     owner = boxes[tries.index(True)]
-    assert not may_be_sent(owner, content, late, under_way=True)
+    assert not may_send_content(owner, content, late, under_way=True)
     _end(owner, "a", "w-9", late / 1_000)
-    assert not may_be_sent(owner, content, Millis(late + 5), under_way=False)
+    assert not may_send_content(owner, content, Millis(late + 5), under_way=False)
 
 
 def test_new_version_of_a_service_is_tried_with_what_ended_the_old_one():
     fleet = make_fleet()
     content = _kept_in(fleet)
     old = add_worker(fleet, make_worker("w-0"))
-    assert not may_be_sent(fleet, content, ms(4), under_way=False)
+    assert not may_send_content(fleet, content, ms(4), under_way=False)
     add_worker(fleet, make_worker("n-0", version="v2"))
-    assert not may_be_sent(fleet, content, ms(4), under_way=False)
+    assert not may_send_content(fleet, content, ms(4), under_way=False)
     fleet.workers.leaving.add(old.name)
-    assert may_be_sent(fleet, content, ms(4), under_way=False)
+    assert may_send_content(fleet, content, ms(4), under_way=False)
 
 
 def test_suspect_goes_to_a_worker_without_another_one():
@@ -351,12 +351,12 @@
 def test_flood_of_contents_is_bounded_and_drops_no_kept_one():
     fleet = make_fleet()
     content = _kept_in(fleet)
-    for number in range(SUSPECTS_MOST + 50):
+    for number in range(MAX_SUSPECTS + 50):
         row = make_worker(f"x-{number}")
         name = Fingerprint(f"flood-{number}")
-        note_end_under(fleet, name, row.service, row, ms(10 + number))
-        note_sound(fleet, Fingerprint(f"sound-{number}"), ms(10))
-    assert len(fleet.suspect_requests) <= SUSPECTS_MOST
+        record_end_during(fleet, name, row.service, row, ms(10 + number))
+        record_complete_answer(fleet, Fingerprint(f"sound-{number}"), ms(10))
+    assert len(fleet.suspect_requests) <= MAX_SUSPECTS
     assert content in fleet.suspect_requests
 
 
@@ -376,7 +376,7 @@
     def taken(told: list[SuspectRequest]) -> tuple[object, ...]:
         fleet = make_fleet()
         for item in told:
-            row = take_suspect(fleet, msgspec.structs.replace(item), ms(10))
+            row = merge_suspect(fleet, msgspec.structs.replace(item), ms(10))
         return set(row.ends), row.versions, row.quarantined_by, row.recorded
 
     mixed = [*rows, *rows]
@@ -428,36 +428,40 @@
     fleet = make_fleet()
     content = _kept_in(fleet)
     row = fleet.suspect_requests[content]
-    assert due_records(fleet, ms(4)) == [row] and not due_drops(fleet, ms(4))
+    assert quarantines_to_record(fleet, ms(4)) == [row] and not records_to_remove(
+        fleet, ms(4)
+    )
     row.recorded = True
-    assert not due_records(fleet, ms(4))
-    note_sound(fleet, content, ms(5))
-    assert due_drops(fleet, ms(6)) == [row]
+    assert not quarantines_to_record(fleet, ms(4))
+    record_complete_answer(fleet, content, ms(5))
+    assert records_to_remove(fleet, ms(6)) == [row]
     row.dropped_at = ms(6)
-    assert not due_drops(fleet, ms(7)) and not due_records(fleet, ms(7))
+    assert not records_to_remove(fleet, ms(7)) and not quarantines_to_record(
+        fleet, ms(7)
+    )
     for number in range(3):
         _end(fleet, "a", f"v-{number}", 70 + number)
     assert _kept(fleet, 73) == "a"
-    assert due_records(fleet, ms(74)) == [row]
+    assert quarantines_to_record(fleet, ms(74)) == [row]
 
 
 def test_content_that_is_answered_often_is_not_told_each_time():
     fleet = make_fleet()
     _end(fleet, "a", "w-1", 0)
-    share(fleet, Fingerprint("a"), ms(0.1))
-    note_sound(fleet, Fingerprint("a"), ms(1))
+    share_suspect(fleet, Fingerprint("a"), ms(0.1))
+    record_complete_answer(fleet, Fingerprint("a"), ms(1))
     told_at = fleet.suspect_requests[Fingerprint("a")].changed_at
     for second in range(2, 29):
-        note_sound(fleet, Fingerprint("a"), ms(second))
+        record_complete_answer(fleet, Fingerprint("a"), ms(second))
     assert fleet.suspect_requests[Fingerprint("a")].changed_at == told_at
-    assert not told_suspects(fleet, ms(20), None)
+    assert not suspects_to_send(fleet, ms(20), None)
 
 
 def test_operators_word_reaches_boxes_that_do_not_follow_the_records():
     fleet, peer = make_fleet(), make_fleet("box-2")
     content = _kept_in(fleet, peer)
-    release(fleet, content, ms(100), ms(100))
-    assert may_be_sent(fleet, content, ms(100), under_way=False)
+    release_suspect(fleet, content, ms(100), ms(100))
+    assert may_send_content(fleet, content, ms(100), under_way=False)
     for told in suspects_news(fleet, ms(100.4), None):
-        take_suspect(peer, told_suspect(told, ms(100.4)), ms(100.4))
-    assert may_be_sent(peer, content, ms(101), under_way=False)
+        merge_suspect(peer, told_suspect(told, ms(100.4)), ms(100.4))
+    assert may_send_content(peer, content, ms(101), under_way=False)
--- a/tests/test_ramping.py
+++ b/tests/test_ramping.py
@@ -32,7 +32,7 @@
 from spanshunt.systems.ramping import apply_start_time
 from spanshunt.systems.ramping import apply_verdict
 from spanshunt.systems.ramping import version_rule_for
-from spanshunt.systems.repeats import note_request
+from spanshunt.systems.repeats import count_request
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
 from spanshunt.tables.rollouts import ExposureBounds
@@ -180,7 +180,7 @@
         name = BoxId(f"other-{number}")
         fleet.peers[name] = PeerRow(name, "host:1")
     for at in range(6_000, 12_000, 500):
-        note_request(fleet, SERVICE, Millis(at))
+        count_request(fleet, SERVICE, Millis(at))
     assert fleet_request_rate(fleet, row_of(fleet), ms(12)) == pytest.approx(20.0)
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -4,12 +4,12 @@
 from fleet_builders import ms
 from spanshunt.ids import ServiceId
 from spanshunt.systems.repeats import RepeatBounds
+from spanshunt.systems.repeats import count_repeat
+from spanshunt.systems.repeats import count_request
 from spanshunt.systems.repeats import may_repeat
-from spanshunt.systems.repeats import note_repeat
-from spanshunt.systems.repeats import note_request
 
 SERVICE = ServiceId("writer")
-BOUNDS = RepeatBounds(ratio=0.9, slack=52.0, window_s=10, least_boxes=6)
+BOUNDS = RepeatBounds(ratio=0.9, slack=52.0, window_s=10, min_boxes=6)
 
 
 def test_boxes_together_stay_within_the_bound():
@@ -20,10 +20,10 @@
             now = ms(second)
             requests, repeats = (5 if second < 20 else 1), 0
             for _ in range(requests):
-                note_request(fleet, SERVICE, now)
+                count_request(fleet, SERVICE, now)
             for _ in range(20):
                 if may_repeat(fleet, SERVICE, now, BOUNDS, for_quality=False):
-                    note_repeat(fleet, SERVICE, now)
+                    count_repeat(fleet, SERVICE, now)
                     repeats += 1
             arrivals.append((second, requests, repeats))
     for begin in range(30):
@@ -36,9 +36,9 @@
 def test_some_is_left_for_failures():
     fleet = make_fleet()
     for _ in range(100):
-        note_request(fleet, SERVICE, ms(1))
+        count_request(fleet, SERVICE, ms(1))
     while may_repeat(fleet, SERVICE, ms(1), BOUNDS, for_quality=True):
-        note_repeat(fleet, SERVICE, ms(1))
+        count_repeat(fleet, SERVICE, ms(1))
     assert may_repeat(fleet, SERVICE, ms(1), BOUNDS, for_quality=False)
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -16,11 +16,11 @@
 from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import candidate_workers
 from spanshunt.systems.ramping import VersionRule
-from spanshunt.systems.silence import COUNTS_LEAST_PART
-from spanshunt.systems.silence import COUNTS_MS
-from spanshunt.systems.silence import Silence
-from spanshunt.systems.silence import newest_silences
-from spanshunt.systems.silence import note_silence
+from spanshunt.systems.silence import MIN_VALID_SHARE
+from spanshunt.systems.silence import REPORT_VALID_MS
+from spanshunt.systems.silence import SilenceReport
+from spanshunt.systems.silence import newest_silence_reports
+from spanshunt.systems.silence import record_silence
 from spanshunt.systems.silence import silent_workers
 from spanshunt.tables.fleet import Fleet
 
@@ -36,7 +36,7 @@
 
 
 def report(fleet: Fleet, box: str, at: float, now: float | None = None) -> bool:
-    return note_silence(fleet, Silence(MUTE, BoxId(box), ms(at)), ms(now or at))
+    return record_silence(fleet, SilenceReport(MUTE, BoxId(box), ms(at)), ms(now or at))
 
 
 def test_two_boxes_leave_a_worker_out():
@@ -68,27 +68,27 @@
         fleet = a_fleet(f"box-{number}x")
         report(fleet, "a", 1.0)
         report(fleet, "b", 1.0)
-        at = 1.0 + COUNTS_MS / 1_000 * (COUNTS_LEAST_PART + 0.3)
+        at = 1.0 + REPORT_VALID_MS / 1_000 * (MIN_VALID_SHARE + 0.3)
         left_out.append(silent_workers(fleet, ms(at)) == {MUTE})
-        end = 1.0 + COUNTS_MS / 1_000
+        end = 1.0 + REPORT_VALID_MS / 1_000
         assert silent_workers(fleet, ms(end)) == set()
     assert any(left_out) and not all(left_out)
 
 
 def test_old_and_unknown_reports_are_no_news():
     fleet = a_fleet()
-    assert not report(fleet, "box-2", 1.0, now=1.0 + COUNTS_MS / 1_000)
+    assert not report(fleet, "box-2", 1.0, now=1.0 + REPORT_VALID_MS / 1_000)
     assert report(fleet, "box-2", 2.0)
     assert not report(fleet, "box-2", 1.5, now=2.1)
-    gone = Silence(WorkerId("nobody"), BoxId("box-2"), ms(2))
-    assert not note_silence(fleet, gone, ms(2))
+    gone = SilenceReport(WorkerId("nobody"), BoxId("box-2"), ms(2))
+    assert not record_silence(fleet, gone, ms(2))
 
 
 def test_reports_do_not_live_longer_by_being_told_on():
     fleet = a_fleet()
     report(fleet, "box-2", 1.0)
-    assert newest_silences(fleet, ms(2))
-    assert newest_silences(fleet, ms(1.0 + COUNTS_MS / 1_000)) == ()
+    assert newest_silence_reports(fleet, ms(2))
+    assert newest_silence_reports(fleet, ms(1.0 + REPORT_VALID_MS / 1_000)) == ()
     assert fleet.silence_reports == {}
 
 
--- a/tests/test_throttling.py
+++ b/tests/test_throttling.py
@@ -26,15 +26,15 @@
 from spanshunt.peers.news import News
 from spanshunt.peers.news_rows import limits_news
 from spanshunt.platform.wire import decode_rate
-from spanshunt.systems.ending import note_end
+from spanshunt.systems.ending import record_worker_end
 from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
+from spanshunt.systems.throttling import apply_limit
 from spanshunt.systems.throttling import grant_wait_ms
 from spanshunt.systems.throttling import is_limited
-from spanshunt.systems.throttling import is_over
-from spanshunt.systems.throttling import note_sent
-from spanshunt.systems.throttling import take_limit
+from spanshunt.systems.throttling import revokes_limit
+from spanshunt.systems.throttling import use_grant
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
 from spanshunt.tables.notices import RateLimit
@@ -65,7 +65,7 @@
     """Return a box's tables with a worker that named a limit."""
     fleet = fleet_of("box-1", boxes)
     row = fleet.workers.rows[WorkerId("w-1")]
-    take_limit(fleet, row, word(per_s, at_s), ms(at_s))
+    apply_limit(fleet, row, word(per_s, at_s), ms(at_s))
     return fleet, row
 
 
@@ -80,7 +80,7 @@
     sent = []
     for at in range(int(since_s * 1_000), int(until_s * 1_000), 50):
         while may_send_to(fleet, row, Millis(at), eager=True):
-            note_sent(fleet, row, Millis(at))
+            use_grant(fleet, row, Millis(at))
             sent.append(Millis(at))
     return sent
 
@@ -155,10 +155,10 @@
 
 def test_older_word_does_not_replace_a_newer_one():
     fleet, row = limited(per_s=1.7, at_s=2.0)
-    assert not take_limit(fleet, row, word(9.0, at_s=1.0), ms(3))
+    assert not apply_limit(fleet, row, word(9.0, at_s=1.0), ms(3))
     assert row.limit.per_s == 1.7
-    assert take_limit(fleet, row, word(2.5, at_s=3.0), ms(3))
-    assert not take_limit(fleet, row, word(2.5, at_s=4.0), ms(4))
+    assert apply_limit(fleet, row, word(2.5, at_s=3.0), ms(3))
+    assert not apply_limit(fleet, row, word(2.5, at_s=4.0), ms(4))
 
 
 @pytest.mark.parametrize("boxes", [1, 2, 6, 61, 300])
@@ -169,7 +169,7 @@
         fleet = fleet_of(f"box-{number + 1}", boxes)
         row = fleet.workers.rows[WorkerId("w-1")]
         learned = rng.uniform(0.0, 1.0)
-        take_limit(fleet, row, word(per_s, learned), ms(learned))
+        apply_limit(fleet, row, word(per_s, learned), ms(learned))
         times += sends_of(fleet, row, learned, 12.0)
     # A worker bears one and a half times its rate, and 5 requests, in any 4 s.
     assert most_in_window(times) <= 1.5 * 4 * per_s + 5
@@ -182,7 +182,7 @@
         fleet = fleet_of(f"box-{number + 1}", 2)
         fleet.reported_box_count = 61
         row = fleet.workers.rows[WorkerId("w-1")]
-        take_limit(fleet, row, word(5.0, 0.0), ms(0))
+        apply_limit(fleet, row, word(5.0, 0.0), ms(0))
         times += sends_of(fleet, row, 0.0, 12.0)
     assert most_in_window(times) <= 1.5 * 4 * 5.0 + 5
 
@@ -231,9 +231,9 @@
 def test_limit_that_falls_or_rises_counts_at_once():
     fleet, row = limited(per_s=10.0, at_s=0.0)
     sends_of(fleet, row, 0.0, 2.0)
-    take_limit(fleet, row, word(0.5, 2.0), ms(2))
+    apply_limit(fleet, row, word(0.5, 2.0), ms(2))
     assert len(sends_of(fleet, row, 2.0, 12.0)) <= 5
-    take_limit(fleet, row, word(10.0, 12.0), ms(12))
+    apply_limit(fleet, row, word(10.0, 12.0), ms(12))
     assert len(sends_of(fleet, row, 12.0, 13.0)) >= 8
 
 
@@ -244,7 +244,7 @@
 
 def test_next_life_of_a_worker_has_no_limit_of_the_last_one():
     fleet, row = limited(at_s=1.0)
-    note_end(fleet, row, ms(2))
+    record_worker_end(fleet, row, ms(2))
     assert not is_limited(row)
     told = LimitNews(row.name, row.born, 1.7, 3_000, BoxId("box-3"))
     take_limit_news(fleet, told_news(fleet, told), ms(4), ms(4))
@@ -259,7 +259,7 @@
     take_limit_news(hearer, news, ms(5), ms(5))
     assert is_limited(heard)
     assert heard.limit.source == ME
-    take_limit(teller, row, word(None, at_s=3.0), ms(3))
+    apply_limit(teller, row, word(None, at_s=3.0), ms(3))
     news = told_news(teller, *limits_news(teller, ms(3)))
     take_limit_news(hearer, news, None, ms(6))
     assert is_limited(heard), "a message of unknown age ends no limit"
@@ -316,9 +316,9 @@
 
 def test_answer_that_crossed_the_limit_does_not_end_it():
     _, row = limited(at_s=1.0)
-    assert not is_over(row, sent=ms(0.9))
-    assert is_over(row, sent=ms(1.1))
-    assert not is_over(make_worker("w-2"), sent=ms(1.1))
+    assert not revokes_limit(row, sent=ms(0.9))
+    assert revokes_limit(row, sent=ms(1.1))
+    assert not revokes_limit(make_worker("w-2"), sent=ms(1.1))
 
 
 async def test_limit_is_logged_when_it_changes_and_when_it_ends(lines):
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -34,8 +34,8 @@
 from spanshunt.peers.news_rows import workers_news
 from spanshunt.platform.wire import decode_catalog
 from spanshunt.platform.wire import decode_worker
-from spanshunt.systems.ending import note_end
-from spanshunt.systems.ending import note_return
+from spanshunt.systems.ending import record_worker_end
+from spanshunt.systems.ending import record_worker_return
 from spanshunt.systems.following_workers import ListedWorker
 from spanshunt.systems.following_workers import apply_worker_list
 from spanshunt.systems.following_workers import list_digest
@@ -44,7 +44,7 @@
 from spanshunt.systems.ramping import VersionRule
 from spanshunt.systems.warming import is_cold
 from spanshunt.systems.warming import may_send_to
-from spanshunt.systems.warming import note_sent
+from spanshunt.systems.warming import record_cold_send
 from spanshunt.tables.fleet import ColdBounds
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.fleet import PeerRow
@@ -92,7 +92,7 @@
     sent = []
     for at in range(0, int(until_s * 1_000), 20):
         if may_send_to(fleet, row, Millis(at)):
-            note_sent(row, Millis(at))
+            record_cold_send(row, Millis(at))
             sent.append(Millis(at))
     return sent
 
@@ -182,7 +182,7 @@
 def test_worker_of_a_service_that_does_not_start_cold_is_warm():
     fleet = cold_fleet()
     row = add_worker(fleet, make_worker("p-1", service="web"))
-    note_end(fleet, row, ms(1))
+    record_worker_end(fleet, row, ms(1))
     assert not is_cold(row, ms(1))
 
 
@@ -190,8 +190,8 @@
     """Its entry may tell of the new life seconds later."""
     fleet = cold_fleet()
     row = add_worker(fleet, make_worker("w-1"))
-    note_end(fleet, row, ms(1))
-    note_return(fleet, row, ms(8))
+    record_worker_end(fleet, row, ms(1))
+    record_worker_return(fleet, row, ms(8))
     assert is_cold(row, ms(10.9))
 
 
@@ -214,7 +214,7 @@
     wanted = PlacementRequest(ServiceId("writer"), VersionRule(), fleet.identity.domain)
     first = choose_worker(fleet, wanted, ms(1), seeded())
     assert first is not None and first.worker is cold
-    note_sent(cold, ms(1))
+    record_cold_send(cold, ms(1))
     second = choose_worker(fleet, wanted, ms(1.1), seeded())
     assert second is not None and second.worker is warm
 
--- a/tests/test_worker_entries.py
+++ b/tests/test_worker_entries.py
@@ -17,17 +17,17 @@
 from spanshunt.peers.news_rows import listed as listed_worker
 from spanshunt.peers.news_rows import workers_news
 from spanshunt.platform.wire import decode_worker
-from spanshunt.systems.ending import note_end
-from spanshunt.systems.ending import note_return
+from spanshunt.systems.ending import record_worker_end
+from spanshunt.systems.ending import record_worker_return
 from spanshunt.systems.following_workers import ListedWorker
 from spanshunt.systems.following_workers import apply_worker_list
 from spanshunt.systems.following_workers import mark_replaced
-from spanshunt.systems.silence import Silence
+from spanshunt.systems.silence import SilenceReport
 from spanshunt.systems.silence import is_silent
-from spanshunt.systems.silence import note_silence
-from spanshunt.systems.worker_health import Load
-from spanshunt.systems.worker_health import note_answer
-from spanshunt.systems.worker_health import note_load
+from spanshunt.systems.silence import record_silence
+from spanshunt.systems.worker_health import WorkerLoad
+from spanshunt.systems.worker_health import record_answer
+from spanshunt.systems.worker_health import record_load
 from spanshunt.tables.fleet import Fleet
 from spanshunt.tables.workers import WorkerRow
 
@@ -113,9 +113,9 @@
     )
     former = fleet.workers.rows[WorkerId("w-1")]
     former.inflight = 3
-    note_load(former, Load(7, 2, 8), ms(1))
+    record_load(former, WorkerLoad(7, 2, 8), ms(1))
     for _ in range(4):
-        note_answer(former, 0.0, good=False, now=ms(2))
+        record_answer(former, 0.0, good=False, now=ms(2))
     mark_replaced(fleet, former)
     change = apply_worker_list(
         fleet, [ListedWorker(_row_born_at(2_000), False)], Offset(2), ms(3)
@@ -159,9 +159,9 @@
         fleet, [ListedWorker(_row_born_at(1_000), False)], Offset(1), ms(1)
     )
     row = fleet.workers.rows[WorkerId("w-1")]
-    note_load(row, Load(7, 2, 8), ms(1))
+    record_load(row, WorkerLoad(7, 2, 8), ms(1))
     row.kept.parts["large/p1"] = 500
-    note_end(fleet, row, ms(2))
+    record_worker_end(fleet, row, ms(2))
     assert row.reported == row.queued == 0
     assert not row.kept.parts
 
@@ -204,10 +204,10 @@
     )
     row = fleet.workers.rows[WorkerId("w-1")]
     first = row.incarnation
-    note_end(fleet, row, ms(2))
+    record_worker_end(fleet, row, ms(2))
     assert row.incarnation == first
-    note_return(fleet, row, ms(3))
-    note_end(fleet, row, ms(3))
+    record_worker_return(fleet, row, ms(3))
+    record_worker_end(fleet, row, ms(3))
     assert row.incarnation != first
 
 
@@ -220,5 +220,7 @@
         fleet, [ListedWorker(_row_born_at(2_000), False)], Offset(2), ms(3)
     )
     for box in ("box-2", "box-3"):
-        note_silence(fleet, Silence(WorkerId("w-1"), BoxId(box), ms(2.5)), ms(3.1))
+        record_silence(
+            fleet, SilenceReport(WorkerId("w-1"), BoxId(box), ms(2.5)), ms(3.1)
+        )
     assert not is_silent(fleet, WorkerId("w-1"), ms(3.2))
