--- a/tests/test_leaving_words.py
+++ b/tests/test_leaving_words.py
@@ -1,4 +1,4 @@
-"""Workers whose answers say that they leave, while their entries say nothing."""
+"""Workers whose answers announce that they leave, while their entries do not."""
 
 import asyncio
 
@@ -35,16 +35,16 @@
 from spanshunt.tables.notices import RateLimit
 from spanshunt.worker_notices import take_leaving_news
 
-ME = BoxId("box-1")
+BOX = BoxId("box-1")
 
 
-def leave(worker: WorkerStandin) -> None:
-    """Let a worker say that it leaves, in its answers alone."""
+def announce_leaving(worker: WorkerStandin) -> None:
+    """Make a worker announce that it leaves, in its answers only."""
     worker.says["Server-Leaving"] = "1"
 
 
-async def ask_until_told(fleet: TestFleet, box: Box, path: str, name: str) -> None:
-    """Ask until a worker that leaves has answered the box."""
+async def ask_until_announced(fleet: TestFleet, box: Box, path: str, name: str) -> None:
+    """Send requests until a leaving worker has answered the box."""
     worker = fleet.workers[name]
     for _ in range(60):
         await fleet.ask(box, path)
@@ -53,65 +53,67 @@
     pytest.fail(f"{name} got no request")
 
 
-def told_by(teller: Fleet, *leavings: LeavingNews) -> News:
+def news_of(sender: Fleet, *leavings: LeavingNews) -> News:
     return News(
         BoxId("box-2"),
         "host:1",
-        teller.identity.domain,
+        sender.identity.domain,
         "box-2.1",
         1,
         leavings=leavings,
     )
 
 
-# Guards against sends to a worker that said in an answer that it leaves.
+# Guards against requests to a worker that announced in an answer that it leaves.
 @pytest.mark.parametrize(("path", "name"), [("/look/", "p-1"), ("/long/", "w-1")])
-async def test_worker_that_said_it_leaves_gets_nothing_more_of_that_box(path, name):
+async def test_worker_that_announced_leaving_gets_no_more_requests_of_that_box(
+    path, name
+):
     async with running_fleet() as fleet:
         box, worker = fleet.boxes[0], fleet.workers[name]
-        leave(worker)
-        await ask_until_told(fleet, box, path, name)
+        announce_leaving(worker)
+        await ask_until_announced(fleet, box, path, name)
         reached = len(worker.seen)
         replies = [await fleet.ask(box, path) for _ in range(30)]
         assert {reply.status for reply in replies} == {200}
         assert len(worker.seen) == reached
 
 
-# Guards against the larger model's ask of a worker that just said that it leaves.
-async def test_larger_model_is_asked_elsewhere_once_a_worker_said_it_leaves():
+# Guards against an escalation to a worker that just announced that it leaves.
+async def test_escalation_avoids_a_worker_that_announced_leaving():
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
         for worker in fleet.workers.values():
             worker.sureness = {"small": 1, "middle": 1, "large": 90}
-        leave(fleet.workers["w-1"])
-        await ask_until_told(fleet, box, "/long/", "w-1")
-        told = fleet.workers["w-1"].said[0].at
+        announce_leaving(fleet.workers["w-1"])
+        await ask_until_announced(fleet, box, "/long/", "w-1")
+        announced_at = fleet.workers["w-1"].said[0].at
         for _ in range(10):
             assert (await fleet.ask(box, "/long/")).status == 200
-        late = [seen for seen in fleet.workers["w-1"].seen if seen.at > told]
+        late = [seen for seen in fleet.workers["w-1"].seen if seen.at > announced_at]
         assert late == []
 
 
-# Guards against a last resort that takes leaving workers where no other is left.
-async def test_workers_that_all_said_they_leave_get_nothing_more():
+# Guards against a fallback to leaving workers if no other worker is left.
+async def test_workers_that_all_announced_leaving_get_no_more_requests():
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
         for name in ("p-1", "p-2"):
             fleet.workers[name].fault = WorkerFault.FULL
-            leave(fleet.workers[name])
+            announce_leaving(fleet.workers[name])
         first = await fleet.ask(box, "/look/")
         assert first.status == 503
         await fleet.ask(box, "/look/")
         assert [len(fleet.workers[name].seen) for name in ("p-1", "p-2")] == [1, 1]
 
 
-async def test_peers_are_told_at_once():
+async def test_peers_learn_of_the_notice_at_once():
     async with running_fleet(3) as fleet:
-        leave(fleet.workers["p-1"])
-        await ask_until_told(fleet, fleet.boxes[0], "/look/", "p-1")
+        announce_leaving(fleet.workers["p-1"])
+        await ask_until_announced(fleet, fleet.boxes[0], "/look/", "p-1")
         tables = [box.node.fleet.workers for box in fleet.boxes]
         await until(
-            lambda: all("p-1" in table.leaving for table in tables), "all know", 1.5
+            lambda: all("p-1" in table.leaving for table in tables), "all know it", 1.5
         )
         reached = len(fleet.workers["p-1"].seen)
         await asyncio.gather(
@@ -121,17 +123,17 @@
 
 
 @pytest.mark.parametrize("text", ["0", "yes", "", "11"])
-def test_word_that_is_not_one_is_named(text):
+def test_leaving_notice_other_than_1_is_invalid(text):
     assert decode_leaving([text]).is_err()
     assert decode_leaving(["1", "1"]).is_err()
 
 
-def test_word_is_one_or_is_not_there():
+def test_leaving_notice_is_1_or_absent():
     assert decode_leaving([]).ok_value is False
     assert decode_leaving(["1"]).ok_value is True
 
 
-async def test_odd_word_does_not_hide_the_others():
+async def test_invalid_notice_does_not_hide_the_others():
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
         box.node.fleet.discovery_until = ms(0)
@@ -150,56 +152,56 @@
     return fleet
 
 
-def test_list_that_lacks_the_word_does_not_take_it_back():
+def test_list_without_the_notice_does_not_revoke_it():
     fleet = fleet_with("a")
     assert record_leaving_notice(
-        fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME)
+        fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), BOX)
     )
     assert not record_leaving_notice(
-        fleet, fleet.workers.rows["a"], LeavingNotice(ms(2), ME)
+        fleet, fleet.workers.rows["a"], LeavingNotice(ms(2), BOX)
     )
     apply_worker_list(fleet, [ListedWorker(make_worker("a"), False)], Offset(4), ms(3))
     assert "a" in fleet.workers.leaving
 
 
-def test_next_life_of_a_worker_is_not_leaving():
+def test_new_incarnation_of_a_worker_is_not_leaving():
     fleet = fleet_with("a")
     fleet.workers.rows["a"].born = Millis(10)
-    record_leaving_notice(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME))
+    record_leaving_notice(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), BOX))
     again = make_worker("a")
     again.born = Millis(20)
     apply_worker_list(fleet, [ListedWorker(again, False)], Offset(4), ms(3))
     assert "a" not in fleet.workers.leaving
-    told = LeavingNews(WorkerId("a"), 10, 0, BoxId("box-2"))
-    take_leaving_news(fleet, told_by(fleet, told), ms(4), ms(4))
+    item = LeavingNews(WorkerId("a"), 10, 0, BoxId("box-2"))
+    take_leaving_news(fleet, news_of(fleet, item), ms(4), ms(4))
     assert "a" not in fleet.workers.leaving
 
 
-def test_lists_of_boxes_are_alike_whether_or_not_they_heard_the_word():
+def test_list_digest_does_not_depend_on_leaving_notices():
     fleet, other = fleet_with("a"), fleet_with("a")
     for one in (fleet, other):
         one.workers_read_at = ms(1)
-    record_leaving_notice(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), ME))
+    record_leaving_notice(fleet, fleet.workers.rows["a"], LeavingNotice(ms(1), BOX))
     assert list_digest(fleet) == list_digest(other)
 
 
-def test_word_is_told_to_peers_with_its_age_and_who_heard_it():
-    teller, hearer = fleet_with("a"), fleet_with("a")
-    record_leaving_notice(teller, teller.workers.rows["a"], LeavingNotice(ms(1), ME))
-    (told,) = leavings_news(teller, ms(3))
-    assert (told.age_ms, told.source) == (2_000, ME)
-    take_leaving_news(hearer, told_by(teller, told), None, ms(9))
-    assert "a" in hearer.workers.leaving
-    assert hearer.workers.rows["a"].leaving.source == ME
+def test_notice_is_sent_to_peers_with_its_age_and_source():
+    sender, receiver = fleet_with("a"), fleet_with("a")
+    record_leaving_notice(sender, sender.workers.rows["a"], LeavingNotice(ms(1), BOX))
+    (item,) = leavings_news(sender, ms(3))
+    assert (item.age_ms, item.source) == (2_000, BOX)
+    take_leaving_news(receiver, news_of(sender, item), None, ms(9))
+    assert "a" in receiver.workers.leaving
+    assert receiver.workers.rows["a"].leaving.source == BOX
 
 
-# Guards against a lapsed entry that comes back and takes a worker's words with it.
-def test_words_outlast_an_entry_that_goes_and_comes_back_in_the_same_life():
+# Guards against the loss of a worker's notices when its entry expires and returns.
+def test_notices_survive_an_entry_that_returns_with_the_same_incarnation():
     fleet = fleet_with("a")
     row = fleet.workers.rows["a"]
     row.born = Millis(10)
-    record_leaving_notice(fleet, row, LeavingNotice(ms(1), ME))
-    apply_limit(fleet, row, RateLimit(1.5, ms(1), ME), ms(1))
+    record_leaving_notice(fleet, row, LeavingNotice(ms(1), BOX))
+    apply_limit(fleet, row, RateLimit(1.5, ms(1), BOX), ms(1))
     extend_rest(row, Millis(60_000), ms(1))
     apply_worker_list(fleet, [], Offset(4), ms(2))
     assert "a" not in fleet.workers.rows
@@ -212,11 +214,11 @@
     assert rest_left_ms(again, ms(3)) > 0
 
 
-def test_words_of_a_former_life_end_with_it():
+def test_notices_end_with_their_incarnation():
     fleet = fleet_with("a")
     row = fleet.workers.rows["a"]
     row.born = Millis(10)
-    record_leaving_notice(fleet, row, LeavingNotice(ms(1), ME))
+    record_leaving_notice(fleet, row, LeavingNotice(ms(1), BOX))
     apply_worker_list(fleet, [], Offset(4), ms(2))
     later = make_worker("a")
     later.born = Millis(20)
@@ -225,9 +227,9 @@
     assert fleet.workers.rows["a"].leaving is None
 
 
-def test_words_of_workers_that_are_gone_are_kept_of_some_alone():
+def test_notices_of_former_workers_are_kept_up_to_a_bound():
     fleet = fleet_with(*(f"w-{number}" for number in range(400)))
     for row in list(fleet.workers.rows.values()):
-        record_leaving_notice(fleet, row, LeavingNotice(ms(1), ME))
+        record_leaving_notice(fleet, row, LeavingNotice(ms(1), BOX))
     apply_worker_list(fleet, [], Offset(4), ms(2))
     assert len(fleet.workers.former) == MAX_FORMER_WORKERS
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,10 +1,10 @@
-"""Requests under which workers end.
+"""Quarantine of request contents that crash workers.
 
-Seen: nine engines ended within seconds, again and again, 22 of them under one request.
-A caller had sent it once; each try went to three engines one after the other, beside a
-dozen streams that broke with them, and came again at another box, where nobody knew of
-it. Cause: all that a box remembered of a request was the try under way. Proof: of the
-boxes' lines, one content is dispatched after each end, at the same box and at others.
+Guards against one request that crashes many workers: nine engines ended within seconds,
+again and again, and 22 of these ends were due to one request. Each try went to three
+engines one after the other, broke a dozen other streams at them, and was repeated at
+another box that did not know of it. A box remembered nothing of a request beyond the
+current try, so the boxes' logs showed the same content dispatched after each end.
 """
 
 import asyncio
@@ -51,63 +51,65 @@
 from spanshunt.tables.fleet import PeerRow
 from spanshunt.tables.suspects import SuspectRequest
 
-DEADLY = b"the request that ends its worker"
+CRASHING_BODY = b"the request that ends its worker"
 
-BACK_S = 0.4
-"""When a worker that ended is back, under a new id at its old address, in s."""
+RETURN_S = 0.4
+"""Delay until a worker that ended is back, under a new id at its old address, in s."""
 
 KNOWN_S = 1.0
-"""How long after the third end all boxes know of it, in s: two rounds of exchanges."""
+"""How long after the third end all boxes know of it, in s: two rounds of gossip."""
 
-MOST_AFTER = 3
-"""Workers that such a request may reach after that, at all boxes together."""
+MAX_LATER_ENDS = 3
+"""Workers that such a request may reach after that, from all boxes together."""
 
 
-class Deadly:
-    """What became of the deadly request, in the loop's time."""
+class CrashingRequest:
+    """Records what the crashing request did; times are those of the event loop."""
 
     def __init__(self, fleet: TestFleet) -> None:
         self.ended_at: list[float] = []
         self.watched: list[WorkerStandin] = []
         self.ended: list[WorkerStandin] = []
         self._fleet = fleet
-        self._back: set[asyncio.Task[None]] = set()
-        self._lives = 0
+        self._return_tasks: set[asyncio.Task[None]] = set()
+        self._returns = 0
 
     def watch(self, worker: WorkerStandin) -> None:
-        """Let the deadly request end a worker, which is back somewhat later."""
+        """Let the crashing request end a worker, which then returns after a delay."""
         self.watched.append(worker)
-        worker.ends_on = DEADLY
+        worker.ends_on = CRASHING_BODY
         worker.on_end = lambda: self._end(worker)
 
     def _end(self, worker: WorkerStandin) -> None:
         self.ended.append(worker)
         self.ended_at.append(asyncio.get_running_loop().time())
-        task = asyncio.create_task(self._come_back(worker))
-        self._back.add(task)
+        task = asyncio.create_task(self._return_later(worker))
+        self._return_tasks.add(task)
 
-    async def _come_back(self, ended: WorkerStandin) -> None:
-        await asyncio.sleep(BACK_S)
+    async def _return_later(self, ended: WorkerStandin) -> None:
+        await asyncio.sleep(RETURN_S)
         await self._fleet.store.put("keyed.servers", ended.name, None)
-        self._lives += 1
-        worker = WorkerStandin(f"w-again-{self._lives}")
+        self._returns += 1
+        worker = WorkerStandin(f"w-again-{self._returns}")
         await worker.start(ended.port)
         self._fleet.workers[worker.name] = worker
         self.watch(worker)
         await self._fleet.list_worker(worker.name)
 
     def arrivals(self) -> list[float]:
-        """Return when the deadly request ended a worker: each arrival does here."""
+        """Return when the crashing request ended workers; each of its arrivals does."""
         return sorted(self.ended_at)
 
     async def stop(self) -> None:
-        """Wait for those that are to come back."""
-        await asyncio.gather(*self._back)
+        """Wait until all workers that ended are back."""
+        await asyncio.gather(*self._return_tasks)
 
 
 @contextlib.asynccontextmanager
-async def deadly_fleet(boxes: int) -> t.AsyncIterator[tuple[TestFleet, Deadly]]:
-    """Run a fleet of six engines, each of which the deadly request ends."""
+async def crashing_fleet(
+    boxes: int,
+) -> t.AsyncIterator[tuple[TestFleet, CrashingRequest]]:
+    """Run a fleet with six engines that the crashing request ends."""
     async with running_fleet(boxes) as fleet:
         for number in range(3, 7):
             await fleet.add_worker(f"w-{number}")
@@ -119,48 +121,48 @@
                 lambda peers=peers: all(peer.heard >= 0 for peer in peers.values()),
                 "all peers are heard",
             )
-        deadly = Deadly(fleet)
+        crashing = CrashingRequest(fleet)
         for name, worker in fleet.workers.items():
             if name.startswith("w-"):
-                deadly.watch(worker)
-        yield fleet, deadly
-        await deadly.stop()
+                crashing.watch(worker)
+        yield fleet, crashing
+        await crashing.stop()
 
 
-async def test_request_that_ends_workers_is_not_sent_on_by_any_box():
-    async with deadly_fleet(boxes=3) as (fleet, deadly):
+async def test_crashing_request_is_not_sent_on_by_any_box():
+    async with crashing_fleet(boxes=3) as (fleet, crashing):
         for number in range(12):
             box = fleet.boxes[number % len(fleet.boxes)]
-            await fleet.ask(box, "/long/x", body=DEADLY)
+            await fleet.ask(box, "/long/x", body=CRASHING_BODY)
             await asyncio.sleep(0.3)
-        arrivals = deadly.arrivals()
+        arrivals = crashing.arrivals()
         assert len(arrivals) >= 3
         after = [at for at in arrivals if at > arrivals[2] + KNOWN_S]
-        assert len(after) <= MOST_AFTER
+        assert len(after) <= MAX_LATER_ENDS
 
 
-async def test_kept_back_content_gets_a_final_answer_that_invites_no_return():
-    async with deadly_fleet(boxes=2) as (fleet, deadly):
-        await fleet.ask(fleet.boxes[0], "/long/x", body=DEADLY)
-        assert len(deadly.ended_at) == 3
+async def test_quarantined_content_gets_a_final_error_without_retry_after():
+    async with crashing_fleet(boxes=2) as (fleet, crashing):
+        await fleet.ask(fleet.boxes[0], "/long/x", body=CRASHING_BODY)
+        assert len(crashing.ended_at) == 3
         content = next(iter(fleet.boxes[0].node.fleet.suspect_requests))
         known = fleet.boxes[1].node.fleet.suspect_requests
-        await until(lambda: content in known, "the other box is told", wait=1.0)
+        await until(lambda: content in known, "the other box knows it", wait=1.0)
         for box in fleet.boxes:
-            reply = await fleet.ask(box, "/long/x", body=DEADLY)
+            reply = await fleet.ask(box, "/long/x", body=CRASHING_BODY)
             assert reply.status == 400
             assert "Retry-After" not in reply.headers
             assert content.encode() in reply.body
-        assert len(deadly.ended_at) == 3
+        assert len(crashing.ended_at) == 3
 
 
 def _is_served(reply: Reply | BaseException) -> bool:
-    """Tell whether an answer came whole; one that is cut raises."""
+    """Return whether an answer is complete; a truncated one raises."""
     return isinstance(reply, Reply) and reply.status == 200
 
 
-async def test_others_are_answered_while_a_content_ends_workers():
-    async with deadly_fleet(boxes=2) as (fleet, deadly):
+async def test_other_requests_are_answered_while_a_content_crashes_workers():
+    async with crashing_fleet(boxes=2) as (fleet, crashing):
         for worker in fleet.workers.values():
             worker.event_s = 0.05
         others = [
@@ -170,18 +172,18 @@
             for number in range(24)
         ]
         await asyncio.sleep(0.05)
-        await fleet.ask(fleet.boxes[0], "/long/x", body=DEADLY)
+        await fleet.ask(fleet.boxes[0], "/long/x", body=CRASHING_BODY)
         replies = await asyncio.gather(*others, return_exceptions=True)
-        assert len(deadly.ended_at) >= 3
+        assert len(crashing.ended_at) >= 3
         assert sum(_is_served(reply) for reply in replies) >= 22, replies
 
 
-async def test_boxes_that_start_know_what_is_kept_back():
-    """All boxes ended at once: what they knew stands in the store alone."""
-    async with deadly_fleet(boxes=2) as (fleet, deadly):
-        await fleet.ask(fleet.boxes[0], "/long/x", body=DEADLY)
+async def test_boxes_that_start_know_quarantined_contents():
+    """All boxes stop at once, so that only the store knows of the quarantine."""
+    async with crashing_fleet(boxes=2) as (fleet, crashing):
+        await fleet.ask(fleet.boxes[0], "/long/x", body=CRASHING_BODY)
         topic = fleet.store.topic("keyed.kept-back")
-        await until(lambda: topic.end == 1, "it is recorded")
+        await until(lambda: topic.end == 1, "the quarantine is recorded")
         await asyncio.sleep(0.5)
         for box in fleet.boxes:
             await box.node.close()
@@ -189,34 +191,35 @@
         fresh = await fleet.add_box("box-9")
         await until(lambda: not fresh.node.why_not_ready(), "the new box is ready")
         await until(
-            lambda: bool(fresh.node.fleet.suspect_requests), "it has read the store"
+            lambda: bool(fresh.node.fleet.suspect_requests),
+            "the new box has read the store",
         )
-        before = len(deadly.ended_at)
-        reply = await fleet.ask(fresh, "/long/x", body=DEADLY)
+        before = len(crashing.ended_at)
+        reply = await fleet.ask(fresh, "/long/x", body=CRASHING_BODY)
         assert reply.status == 400
-        assert len(deadly.ended_at) == before
+        assert len(crashing.ended_at) == before
         assert topic.end == 1
 
 
-async def test_operator_lets_a_content_go():
-    async with deadly_fleet(boxes=1) as (fleet, _deadly):
-        await fleet.ask(fleet.boxes[0], "/long/x", body=DEADLY)
+async def test_operator_releases_a_content():
+    async with crashing_fleet(boxes=1) as (fleet, _crashing):
+        await fleet.ask(fleet.boxes[0], "/long/x", body=CRASHING_BODY)
         content = next(iter(fleet.boxes[0].node.fleet.suspect_requests))
         await asyncio.sleep(0.6)
         for worker in fleet.workers.values():
             worker.ends_on = b""
-        said = {"At": fleet.boxes[0].node.clock.wall()}
-        await fleet.store.put("keyed.op", f"release/{content}", said)
+        order = {"At": fleet.boxes[0].node.clock.wall()}
+        await fleet.store.put("keyed.op", f"release/{content}", order)
         row = fleet.boxes[0].node.fleet.suspect_requests[content]
-        await until(lambda: not row.counted_ends(), "the box heard the operator")
-        reply = await fleet.ask(fleet.boxes[0], "/long/x", body=DEADLY)
+        await until(lambda: not row.counted_ends(), "the box learns of the release")
+        reply = await fleet.ask(fleet.boxes[0], "/long/x", body=CRASHING_BODY)
         assert reply.status == 200
         kept = fleet.store.topic("keyed.kept-back").values
-        await until(lambda: content not in kept, "its record is dropped")
+        await until(lambda: content not in kept, "its record is removed")
 
 
-async def test_popular_sound_content_is_not_kept_back_where_workers_end_at_random():
-    async with deadly_fleet(boxes=2) as (fleet, deadly):
+async def test_frequent_harmless_content_is_not_quarantined_if_workers_end_at_random():
+    async with crashing_fleet(boxes=2) as (fleet, crashing):
         for worker in fleet.workers.values():
             worker.event_s = 0.02
         rng = seeded(3)
@@ -227,7 +230,7 @@
             replies.append(asyncio.create_task(ask))
             await asyncio.sleep(0.05)
             if number % 6 == 5:
-                live = [w for w in deadly.watched if w not in deadly.ended]
+                live = [w for w in crashing.watched if w not in crashing.ended]
                 worker = rng.choice(live)
                 worker.end()
                 worker.on_end()
@@ -237,62 +240,62 @@
 
 
 def _end(fleet: Fleet, contents: str, worker: str, at: float) -> None:
-    """Let a worker end that had the contents named by letters."""
+    """Record the end of a worker that processed contents with one-letter names."""
     row = make_worker(worker)
     for letter in contents:
         record_end_during(fleet, Fingerprint(letter), row.service, row, ms(at))
 
 
-def _kept(fleet: Fleet, at: float) -> str:
+def _quarantined_names(fleet: Fleet, at: float) -> str:
     rows = sorted(fleet.suspect_requests.items())
     return "".join(name for name, row in rows if update_quarantine(fleet, row, ms(at)))
 
 
-def test_bystander_is_cleared_by_a_whole_answer():
+def test_harmless_content_is_cleared_by_a_complete_answer():
     fleet = make_fleet()
     for number, contents in enumerate(["abcd", "abx"]):
         _end(fleet, contents, f"w-{number}", number)
-        assert _kept(fleet, number) == ""
+        assert _quarantined_names(fleet, number) == ""
     record_complete_answer(fleet, Fingerprint("b"), ms(1.5))
     _end(fleet, "aby", "w-9", 2)
-    assert _kept(fleet, 2) == "a"
+    assert _quarantined_names(fleet, 2) == "a"
     assert may_send_content(fleet, Fingerprint("b"), ms(3), under_way=False)
     assert not may_send_content(fleet, Fingerprint("a"), ms(3), under_way=False)
 
 
-def test_two_contents_that_each_end_workers_are_both_kept_back():
+def test_two_contents_that_each_crash_workers_are_both_quarantined():
     fleet = make_fleet()
     for number in range(6):
         _end(fleet, "ab"[number % 2], f"w-{number}", 0.1 * number)
-    assert _kept(fleet, 1) == "ab"
+    assert _quarantined_names(fleet, 1) == "ab"
 
 
-def test_whole_answer_speaks_for_a_content_for_a_minute():
+def test_complete_answer_clears_a_content_for_a_minute():
     fleet = make_fleet()
     record_complete_answer(fleet, Fingerprint("a"), ms(10))
     for number in range(5):
         _end(fleet, "a", f"w-{number}", 12 + number)
-    assert _kept(fleet, 20) == ""
+    assert _quarantined_names(fleet, 20) == ""
     for number in range(3):
         _end(fleet, "a", f"v-{number}", 71 + number)
-    assert _kept(fleet, 75) == "a"
+    assert _quarantined_names(fleet, 75) == "a"
 
 
-def test_whole_answer_of_a_box_that_was_not_told_still_counts_there():
+def test_complete_answer_counts_at_a_box_that_did_not_know_the_suspect():
     fleet, peer = make_fleet(), make_fleet("box-2")
     for number in range(3):
         _end(fleet, "a", f"w-{number}", number)
-    assert _kept(fleet, 3) == "a"
+    assert _quarantined_names(fleet, 3) == "a"
     record_complete_answer(peer, Fingerprint("a"), ms(2.5))
-    for told in suspects_news(fleet, ms(3), None):
-        merge_suspect(peer, told_suspect(told, ms(3)), ms(3))
+    for item in suspects_news(fleet, ms(3), None):
+        merge_suspect(peer, told_suspect(item, ms(3)), ms(3))
     assert may_send_content(peer, Fingerprint("a"), ms(3), under_way=False)
-    for told in suspects_news(peer, ms(3.5), None):
-        merge_suspect(fleet, told_suspect(told, ms(3.5)), ms(3.5))
+    for item in suspects_news(peer, ms(3.5), None):
+        merge_suspect(fleet, told_suspect(item, ms(3.5)), ms(3.5))
     assert may_send_content(fleet, Fingerprint("a"), ms(4), under_way=False)
 
 
-def _kept_in(*boxes: Fleet) -> Fingerprint:
+def _quarantine_in(*boxes: Fleet) -> Fingerprint:
     for fleet in boxes:
         for name in boxes:
             if name is not fleet:
@@ -302,13 +305,13 @@
                 fleet.peers[name.identity.box] = peer
         for number in range(3):
             _end(fleet, "a", f"w-{number}", number)
-        assert _kept(fleet, 3) == "a"
+        assert _quarantined_names(fleet, 3) == "a"
     return Fingerprint("a")
 
 
-def test_one_box_tries_once_more_when_its_time_is_over():
+def test_one_box_tries_once_more_after_the_quarantine_time():
     boxes = [make_fleet(f"box-{number}") for number in range(5)]
-    content = _kept_in(*boxes)
+    content = _quarantine_in(*boxes)
     late = Millis(ms(2) + QUARANTINE_MS)
     for fleet in boxes:
         for peer in fleet.peers.values():
@@ -321,9 +324,9 @@
     assert not may_send_content(owner, content, Millis(late + 5), under_way=False)
 
 
-def test_new_version_of_a_service_is_tried_with_what_ended_the_old_one():
+def test_content_is_tried_again_with_a_new_version_of_the_service():
     fleet = make_fleet()
-    content = _kept_in(fleet)
+    content = _quarantine_in(fleet)
     old = add_worker(fleet, make_worker("w-0"))
     assert not may_send_content(fleet, content, ms(4), under_way=False)
     add_worker(fleet, make_worker("n-0", version="v2"))
@@ -332,7 +335,7 @@
     assert may_send_content(fleet, content, ms(4), under_way=False)
 
 
-def test_suspect_goes_to_a_worker_without_another_one():
+def test_suspect_goes_to_a_worker_without_another_suspect():
     fleet = make_fleet()
     for name in ("a", "b", "c"):
         add_worker(fleet, make_worker(name))
@@ -348,9 +351,9 @@
     assert found == {"b"}
 
 
-def test_flood_of_contents_is_bounded_and_drops_no_kept_one():
+def test_number_of_suspects_is_bounded_and_quarantined_ones_stay():
     fleet = make_fleet()
-    content = _kept_in(fleet)
+    content = _quarantine_in(fleet)
     for number in range(MAX_SUSPECTS + 50):
         row = make_worker(f"x-{number}")
         name = Fingerprint(f"flood-{number}")
@@ -372,61 +375,63 @@
 
 
 @given(st.lists(ROWS, min_size=1, max_size=5), st.randoms())
-def test_what_boxes_tell_comes_to_the_same_in_any_order(rows, rng):
-    def taken(told: list[SuspectRequest]) -> tuple[object, ...]:
+def test_merge_of_suspects_does_not_depend_on_order(rows, rng):
+    def merged(received: list[SuspectRequest]) -> tuple[object, ...]:
         fleet = make_fleet()
-        for item in told:
+        for item in received:
             row = merge_suspect(fleet, msgspec.structs.replace(item), ms(10))
         return set(row.ends), row.versions, row.quarantined_by, row.recorded
 
-    mixed = [*rows, *rows]
-    rng.shuffle(mixed)
-    assert taken(rows) == taken(mixed)
+    shuffled = [*rows, *rows]
+    rng.shuffle(shuffled)
+    assert merged(rows) == merged(shuffled)
 
 
-async def test_copy_that_waits_at_a_worker_is_withdrawn():
-    """Two of one content at once: the one in a queue ended its worker seconds later."""
-    async with deadly_fleet(boxes=1) as (fleet, deadly):
+async def test_request_that_waits_at_a_worker_is_cancelled_by_a_quarantine():
+    """Of two equal requests at once, the queued one ended its worker seconds later."""
+    async with crashing_fleet(boxes=1) as (fleet, crashing):
         for number in (3, 4):
             await fleet.add_worker(f"p-{number}", service="web")
         box = fleet.boxes[0]
         rows = box.node.fleet.workers.rows
         await until(lambda: "p-4" in rows, "all web workers are known")
-        plain = [fleet.workers[f"p-{number}"] for number in (1, 2, 3, 4)]
-        for worker in plain:
-            deadly.watch(worker)
+        web_workers = [fleet.workers[f"p-{number}"] for number in (1, 2, 3, 4)]
+        for worker in web_workers:
+            crashing.watch(worker)
             worker.ends_after_s = 1.3
-        waits = asyncio.create_task(fleet.ask(box, "/view/x", body=DEADLY))
-        await until(lambda: any(worker.ran for worker in plain), "a copy waits")
-        slow = next(worker for worker in plain if worker.ran)
-        for worker in plain:
+        waiting = asyncio.create_task(fleet.ask(box, "/view/x", body=CRASHING_BODY))
+        await until(
+            lambda: any(worker.ran for worker in web_workers), "a request waits"
+        )
+        slow = next(worker for worker in web_workers if worker.ran)
+        for worker in web_workers:
             worker.ends_after_s = 1.3 if worker is slow else 0.02
         for _ in range(3):
-            await fleet.ask(box, "/view/x", body=DEADLY)
-        assert (await waits).status == 400
-        await until(lambda: bool(slow.cancelled), "the copy is withdrawn")
-        assert len(deadly.ended) == 3 and slow not in deadly.ended
+            await fleet.ask(box, "/view/x", body=CRASHING_BODY)
+        assert (await waiting).status == 400
+        await until(lambda: bool(slow.cancelled), "the request is cancelled")
+        assert len(crashing.ended) == 3 and slow not in crashing.ended
 
 
-async def test_box_that_hears_no_peer_asks_the_store_before_it_goes_on():
-    async with deadly_fleet(boxes=2) as (fleet, deadly):
-        await fleet.ask(fleet.boxes[0], "/long/x", body=DEADLY)
+async def test_box_without_peers_reads_the_store_before_it_retries():
+    async with crashing_fleet(boxes=2) as (fleet, crashing):
+        await fleet.ask(fleet.boxes[0], "/long/x", body=CRASHING_BODY)
         topic = fleet.store.topic("keyed.kept-back")
-        await until(lambda: topic.end == 1, "it is recorded")
+        await until(lambda: topic.end == 1, "the quarantine is recorded")
         await asyncio.sleep(0.6)
-        alone = fleet.boxes[1].node
-        alone.fleet.suspect_requests.clear()
-        for peer in alone.fleet.peers.values():
+        isolated = fleet.boxes[1].node
+        isolated.fleet.suspect_requests.clear()
+        for peer in isolated.fleet.peers.values():
             peer.heard = Millis(-1)
-        alone._exchange.take = lambda _news: None
-        reply = await fleet.ask(fleet.boxes[1], "/long/x", body=DEADLY)
+        isolated._exchange.take = lambda _news: None
+        reply = await fleet.ask(fleet.boxes[1], "/long/x", body=CRASHING_BODY)
         assert reply.status == 400
-        assert len(deadly.ended_at) == 4
+        assert len(crashing.ended_at) == 4
 
 
-def test_content_that_is_kept_back_again_is_recorded_again():
+def test_content_that_is_quarantined_again_is_recorded_again():
     fleet = make_fleet()
-    content = _kept_in(fleet)
+    content = _quarantine_in(fleet)
     row = fleet.suspect_requests[content]
     assert quarantines_to_record(fleet, ms(4)) == [row] and not records_to_remove(
         fleet, ms(4)
@@ -441,27 +446,27 @@
     )
     for number in range(3):
         _end(fleet, "a", f"v-{number}", 70 + number)
-    assert _kept(fleet, 73) == "a"
+    assert _quarantined_names(fleet, 73) == "a"
     assert quarantines_to_record(fleet, ms(74)) == [row]
 
 
-def test_content_that_is_answered_often_is_not_told_each_time():
+def test_content_that_is_answered_often_is_not_sent_to_peers_each_time():
     fleet = make_fleet()
     _end(fleet, "a", "w-1", 0)
     share_suspect(fleet, Fingerprint("a"), ms(0.1))
     record_complete_answer(fleet, Fingerprint("a"), ms(1))
-    told_at = fleet.suspect_requests[Fingerprint("a")].changed_at
+    changed_at = fleet.suspect_requests[Fingerprint("a")].changed_at
     for second in range(2, 29):
         record_complete_answer(fleet, Fingerprint("a"), ms(second))
-    assert fleet.suspect_requests[Fingerprint("a")].changed_at == told_at
+    assert fleet.suspect_requests[Fingerprint("a")].changed_at == changed_at
     assert not suspects_to_send(fleet, ms(20), None)
 
 
-def test_operators_word_reaches_boxes_that_do_not_follow_the_records():
+def test_release_reaches_boxes_that_do_not_follow_the_records():
     fleet, peer = make_fleet(), make_fleet("box-2")
-    content = _kept_in(fleet, peer)
+    content = _quarantine_in(fleet, peer)
     release_suspect(fleet, content, ms(100), ms(100))
     assert may_send_content(fleet, content, ms(100), under_way=False)
-    for told in suspects_news(fleet, ms(100.4), None):
-        merge_suspect(peer, told_suspect(told, ms(100.4)), ms(100.4))
+    for item in suspects_news(fleet, ms(100.4), None):
+        merge_suspect(peer, told_suspect(item, ms(100.4)), ms(100.4))
     assert may_send_content(peer, content, ms(101), under_way=False)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""The budget of repeats: boxes that don't talk keep to the whole."""
+"""Retry budget: boxes keep to the total without communication."""
 
 from fleet_builders import make_fleet
 from fleet_builders import ms
@@ -26,14 +26,14 @@
                     count_repeat(fleet, SERVICE, now)
                     repeats += 1
             arrivals.append((second, requests, repeats))
-    for begin in range(30):
-        window = [row for row in arrivals if begin <= row[0] < begin + 10]
-        earlier = [row for row in arrivals if begin - 10 <= row[0] < begin]
+    for start in range(30):
+        window = [row for row in arrivals if start <= row[0] < start + 10]
+        earlier = [row for row in arrivals if start - 10 <= row[0] < start]
         requests = max(sum(r[1] for r in window), sum(r[1] for r in earlier))
         assert sum(r[2] for r in window) <= 0.9 * requests + 52
 
 
-def test_some_is_left_for_failures():
+def test_budget_is_left_for_failures():
     fleet = make_fleet()
     for _ in range(100):
         count_request(fleet, SERVICE, ms(1))
--- a/tests/test_resting.py
+++ b/tests/test_resting.py
@@ -1,4 +1,4 @@
-"""Workers that turn a box away and ask it for rest."""
+"""Workers that reject a request and ask the box for rest."""
 
 import pytest
 
@@ -28,14 +28,14 @@
 DATE = "Thu, 03 Dec 2026 12:00:00 GMT"
 
 
-def turn_away(fleet: TestFleet, *names: str, rest: str = "3") -> None:
-    """Let workers turn all requests away and ask for rest."""
+def reject_requests(fleet: TestFleet, *names: str, rest: str = "3") -> None:
+    """Make workers reject all requests and ask for rest."""
     for name in names:
         fleet.workers[name].fault = WorkerFault.FULL
         fleet.workers[name].asks["Retry-After"] = rest
 
 
-# Guards against requests to a worker that has asked the box for rest.
+# Guards against requests to a worker that asked the box for rest.
 @pytest.mark.parametrize(
     ("path", "name"), [("/look/", "p-1"), ("/view/", "p-1"), ("/long/", "w-1")]
 )
@@ -44,22 +44,22 @@
 ):
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
-        turn_away(fleet, name)
+        reject_requests(fleet, name)
         replies = [await fleet.ask(box, path) for _ in range(40)]
         assert {reply.status for reply in replies} == {200}
         assert len(fleet.workers[name].seen) == 1
 
 
-# Guards against a last resort that takes resting workers where no other is left.
-async def test_callers_are_told_at_once_when_to_come_back_while_all_rest():
+# Guards against a fallback to resting workers if no other worker is left.
+async def test_callers_get_retry_after_at_once_while_all_workers_rest():
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
-        turn_away(fleet, "p-1", "p-2", rest="1.5")
+        reject_requests(fleet, "p-1", "p-2", rest="1.5")
         replies = [await fleet.ask(box, "/look/") for _ in range(8)]
         assert {reply.status for reply in replies} == {503}
         waits = [float(reply.headers["Retry-After"]) for reply in replies]
         assert all(1.0 < wait < 2.5 for wait in waits[1:])
-        assert len(set(waits[1:])) > 1, "callers come back spread"
+        assert len(set(waits[1:])) > 1, "retry times are spread"
         reached = sum(len(fleet.workers[name].seen) for name in ("p-1", "p-2"))
         assert reached == 2
 
@@ -67,7 +67,7 @@
 async def test_worker_gets_requests_again_after_its_rest():
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
-        turn_away(fleet, "p-1", "p-2", rest="0.2")
+        reject_requests(fleet, "p-1", "p-2", rest="0.2")
         assert (await fleet.ask(box, "/look/")).status == 503
         for name in ("p-1", "p-2"):
             fleet.workers[name].fault = WorkerFault.NONE
@@ -96,11 +96,11 @@
 @pytest.mark.parametrize(
     "texts", [["-3"], ["nan"], ["1e9"], ["soon"], [""], ["3", "4"], [DATE, DATE]]
 )
-def test_rest_that_can_not_be_read_is_named_and_tells_nothing(texts):
+def test_invalid_rest_is_rejected(texts):
     assert "seconds or a time of day" in decode_rest(texts, [DATE]).err_value
 
 
-def test_time_of_day_without_the_answers_own_tells_nothing():
+def test_time_of_day_is_rejected_without_the_date_of_the_answer():
     assert decode_rest([DATE], []).is_err()
 
 
@@ -113,7 +113,7 @@
     assert rest_left_ms(row, ms(6)) == 0
 
 
-def test_next_life_of_a_worker_does_not_rest():
+def test_new_incarnation_of_a_worker_does_not_rest():
     fleet = make_fleet()
     row = add_worker(fleet, make_worker("w-1"))
     row.born = Millis(10)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Reports of silent workers: two boxes must agree, and each forgets by itself."""
+"""Reports of silent workers: two boxes must agree, and each forgets on its own."""
 
 import random
 
@@ -24,10 +24,10 @@
 from spanshunt.systems.silence import silent_workers
 from spanshunt.tables.fleet import Fleet
 
-MUTE = WorkerId("p-1")
+SILENT_WORKER = WorkerId("p-1")
 
 
-def a_fleet(box: str = "box-1") -> Fleet:
+def make_box(box: str = "box-1") -> Fleet:
     fleet = make_fleet(box)
     for name in ("p-1", "p-2"):
         fleet.workers.rows[WorkerId(name)] = make_worker(name, service="web")
@@ -36,47 +36,49 @@
 
 
 def report(fleet: Fleet, box: str, at: float, now: float | None = None) -> bool:
-    return record_silence(fleet, SilenceReport(MUTE, BoxId(box), ms(at)), ms(now or at))
+    return record_silence(
+        fleet, SilenceReport(SILENT_WORKER, BoxId(box), ms(at)), ms(now or at)
+    )
 
 
-def test_two_boxes_leave_a_worker_out():
-    fleet = a_fleet()
+def test_reports_of_two_boxes_exclude_a_worker():
+    fleet = make_box()
     report(fleet, "box-2", 1.0)
     assert silent_workers(fleet, ms(1.1)) == set()
     report(fleet, "box-3", 1.1)
-    assert silent_workers(fleet, ms(1.2)) == {MUTE}
+    assert silent_workers(fleet, ms(1.2)) == {SILENT_WORKER}
 
 
-def test_one_box_that_reports_twice_is_one_witness():
-    fleet = a_fleet()
+def test_two_reports_of_one_box_count_once():
+    fleet = make_box()
     report(fleet, "box-2", 1.0)
     report(fleet, "box-2", 1.3)
     assert silent_workers(fleet, ms(1.4)) == set()
 
 
-def test_worker_that_was_heard_since_is_not_left_out():
-    fleet = a_fleet()
+def test_worker_that_sent_bytes_since_is_not_excluded():
+    fleet = make_box()
     report(fleet, "box-2", 1.0)
     report(fleet, "box-3", 1.1)
-    fleet.workers.rows[MUTE].last_byte_at = ms(1.15)
+    fleet.workers.rows[SILENT_WORKER].last_byte_at = ms(1.15)
     assert silent_workers(fleet, ms(1.2)) == set()
 
 
-def test_boxes_forget_at_times_of_their_own_within_the_bound():
-    left_out = []
+def test_boxes_ignore_reports_after_different_times_within_the_bound():
+    excluded = []
     for number in range(40):
-        fleet = a_fleet(f"box-{number}x")
+        fleet = make_box(f"box-{number}x")
         report(fleet, "a", 1.0)
         report(fleet, "b", 1.0)
         at = 1.0 + REPORT_VALID_MS / 1_000 * (MIN_VALID_SHARE + 0.3)
-        left_out.append(silent_workers(fleet, ms(at)) == {MUTE})
+        excluded.append(silent_workers(fleet, ms(at)) == {SILENT_WORKER})
         end = 1.0 + REPORT_VALID_MS / 1_000
         assert silent_workers(fleet, ms(end)) == set()
-    assert any(left_out) and not all(left_out)
+    assert any(excluded) and not all(excluded)
 
 
-def test_old_and_unknown_reports_are_no_news():
-    fleet = a_fleet()
+def test_old_reports_and_those_of_unknown_workers_are_ignored():
+    fleet = make_box()
     assert not report(fleet, "box-2", 1.0, now=1.0 + REPORT_VALID_MS / 1_000)
     assert report(fleet, "box-2", 2.0)
     assert not report(fleet, "box-2", 1.5, now=2.1)
@@ -84,8 +86,8 @@
     assert not record_silence(fleet, gone, ms(2))
 
 
-def test_reports_do_not_live_longer_by_being_told_on():
-    fleet = a_fleet()
+def test_reports_do_not_live_longer_by_being_forwarded():
+    fleet = make_box()
     report(fleet, "box-2", 1.0)
     assert newest_silence_reports(fleet, ms(2))
     assert newest_silence_reports(fleet, ms(1.0 + REPORT_VALID_MS / 1_000)) == ()
@@ -96,14 +98,14 @@
     ("silent", "left"), [({"p-1"}, {"p-2"}), ({"p-1", "p-2"}, {"p-1", "p-2"})]
 )
 def test_silent_workers_are_used_only_where_no_other_is_left(silent, left):
-    fleet = a_fleet()
+    fleet = make_box()
     wanted = PlacementRequest(
         ServiceId("web"), VersionRule(), DomainId("north"), silent=silent
     )
     assert {row.name for row in candidate_workers(fleet, wanted, ms(1))} == left
 
 
-class At(Clock):
+class FixedClock(Clock):
     """A clock that stands still."""
 
     def __init__(self, seconds: float) -> None:
@@ -113,17 +115,20 @@
         return self._now
 
 
-def an_exchange(fleet: Fleet, at: float) -> Exchange:
-    return Exchange(fleet, At(at), random.Random(1), lambda: None, ())
+def make_exchange(fleet: Fleet, at: float) -> Exchange:
+    return Exchange(fleet, FixedClock(at), random.Random(1), lambda: None, ())
 
 
-def test_boxes_tell_each_other():
-    """Seen: 66 boxes found one silent worker, each by itself."""
-    fleets = [a_fleet(f"box-{number}") for number in (1, 2, 3)]
-    first, second, third = (an_exchange(fleet, 10.2) for fleet in fleets)
+def test_boxes_exchange_reports():
+    """Guards against 66 boxes that each detect the same silent worker alone."""
+    fleets = [make_box(f"box-{number}") for number in (1, 2, 3)]
+    first, second, third = (make_exchange(fleet, 10.2) for fleet in fleets)
     report(fleets[0], "box-1", 10.0)
     report(fleets[1], "box-2", 10.1)
     second.take(first.news_for(None))
     third.take(second.news_for(None))
-    assert silent_workers(fleets[2], ms(10.2)) == {MUTE}
-    assert fleets[2].silence_reports[MUTE] == {"box-1": ms(10.0), "box-2": ms(10.1)}
+    assert silent_workers(fleets[2], ms(10.2)) == {SILENT_WORKER}
+    assert fleets[2].silence_reports[SILENT_WORKER] == {
+        "box-1": ms(10.0),
+        "box-2": ms(10.1),
+    }
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -1,7 +1,8 @@
-"""Workers that just started get no more than they bear, from all boxes together.
+"""Slow start: all boxes together send a cold worker no more requests than it tolerates.
 
-Seen: a worker that was back with empty memory got 24 requests in one second, 20 are
-allowed. Each box sees a small part of what it gets, and to each it looked the best.
+Guards against overload of a worker that restarted with an empty cache: it got 24
+requests in one second where 20 are allowed, as it looked best to each box and no box
+saw more than a small part of its requests.
 """
 
 import json
@@ -54,7 +55,7 @@
 
 
 def cold_config() -> dict[str, t.Any]:
-    """Return a configuration whose engines are cold for 3 s and bear 10 a second."""
+    """Return a configuration whose engines are cold for 3 s and take 10/s."""
     services = [
         {**service, "ColdStartS": 3.0, "ColdPerS": COLD_PER_S}
         if service["Name"] == "writer"
@@ -65,7 +66,7 @@
 
 
 def cold_fleet(box: str = "box-1", boxes: int = 61) -> Fleet:
-    """Return a box's tables, with peers, whose engines start cold."""
+    """Return the tables of a box with peers, whose engines start cold."""
     fleet = make_fleet(box)
     fleet.catalog = decode_catalog(json.dumps(cold_config()).encode()).ok_value
     fleet.cold_bounds = ColdBounds(COLD_OVER, COLD_SLACK)
@@ -87,8 +88,8 @@
     return [ListedWorker(make_worker(name), draining=False, cold_ms=cold)]
 
 
-def sends_of(fleet: Fleet, row: WorkerRow, until_s: float) -> list[Millis]:
-    """Return when a box sends to a worker that asks whenever it may."""
+def send_times(fleet: Fleet, row: WorkerRow, until_s: float) -> list[Millis]:
+    """Return when a box sends to a worker if it sends whenever it may."""
     sent = []
     for at in range(0, int(until_s * 1_000), 20):
         if may_send_to(fleet, row, Millis(at)):
@@ -103,7 +104,7 @@
     )
 
 
-def test_domain_that_comes_back_under_a_burst_is_not_overrun():
+def test_domain_that_returns_during_a_burst_is_not_overloaded():
     for seed in (1, 2):
         outcome = play_return(seed)
         assert outcome.most_cold <= BOUND, outcome
@@ -117,24 +118,24 @@
         times: list[Millis] = []
         for number in range(boxes):
             fleet = cold_fleet(f"box-{number + 1}", boxes)
-            times += sends_of(fleet, cold_worker(fleet, worker), 3.0)
+            times += send_times(fleet, cold_worker(fleet, worker), 3.0)
         assert 0 < most_in_a_second(times) <= BOUND
 
 
 @settings(max_examples=30, deadline=None)
 @given(st.data())
-def test_boxes_that_disagree_on_who_lives_keep_the_bound(data: st.DataObject):
-    """A fleet in three parts that lost each other, each with boxes that others miss."""
+def test_boxes_that_disagree_on_live_peers_keep_the_bound(data: st.DataObject):
+    """Three partitions of a fleet, whose boxes know different numbers of peers."""
     worker = f"w-{data.draw(st.integers(0, 10_000))}"
     times: list[Millis] = []
     for number in range(60):
         known = data.draw(st.integers(20, 60))
         fleet = cold_fleet(f"box-{number + 1}", known)
-        times += sends_of(fleet, cold_worker(fleet, worker), 2.0)
+        times += send_times(fleet, cold_worker(fleet, worker), 2.0)
     assert most_in_a_second(times) <= BOUND
 
 
-def test_box_that_just_started_and_heard_nobody_sends_to_no_cold_worker():
+def test_box_that_just_started_without_peers_sends_to_no_cold_worker():
     fleet = cold_fleet(boxes=1)
     fleet.discovery_until = ms(3)
     row = cold_worker(fleet, until_s=9.0)
@@ -142,26 +143,26 @@
     assert may_send_to(fleet, row, ms(3.1))
 
 
-def test_box_that_was_told_of_few_names_counts_as_many_boxes_as_its_peers_do():
-    everywhere = sum(
+def test_box_that_knows_few_peers_uses_the_box_count_that_they_report():
+    unaware = sum(
         may_send_to(fleet, cold_worker(fleet), ms(1))
         for fleet in (cold_fleet(f"box-{n}", boxes=4) for n in range(1, 61))
     )
     fleets = [cold_fleet(f"box-{n}", boxes=4) for n in range(1, 61)]
     for fleet in fleets:
         fleet.reported_box_count = 60
-    told = sum(may_send_to(fleet, cold_worker(fleet), ms(1)) for fleet in fleets)
-    assert everywhere == 60
-    assert told < 15
+    aware = sum(may_send_to(fleet, cold_worker(fleet), ms(1)) for fleet in fleets)
+    assert unaware == 60
+    assert aware < 15
 
 
-def test_warm_worker_gets_whatever_is_sent():
+def test_warm_worker_is_not_limited():
     fleet = cold_fleet()
     row = cold_worker(fleet, until_s=1.0)
     assert all(may_send_to(fleet, row, ms(1.0 + at / 100)) for at in range(100))
 
 
-def test_worker_that_is_new_is_cold_until_its_entry_says_otherwise():
+def test_new_worker_is_cold_unless_its_entry_says_otherwise():
     fleet = cold_fleet()
     apply_worker_list(fleet, listed(None), Offset(1), ms(10))
     assert is_cold(fleet.workers.rows[WorkerId("w-1")], ms(12.9))
@@ -187,7 +188,7 @@
 
 
 def test_worker_that_answers_again_after_its_end_is_cold():
-    """Its entry may tell of the new life seconds later."""
+    """The list entry of the new incarnation may arrive seconds later."""
     fleet = cold_fleet()
     row = add_worker(fleet, make_worker("w-1"))
     record_worker_end(fleet, row, ms(1))
@@ -195,18 +196,18 @@
     assert is_cold(row, ms(10.9))
 
 
-def test_peers_tell_how_long_a_worker_is_cold():
+def test_cold_time_of_a_worker_is_sent_to_peers():
     fleet, peer = cold_fleet(), cold_fleet("box-2")
     apply_worker_list(fleet, listed(2_000), Offset(1), ms(10))
-    told = [told_worker(item) for item in workers_news(fleet, ms(10.5))]
-    apply_worker_list(peer, told, Offset(1), ms(50))
+    entries = [told_worker(item) for item in workers_news(fleet, ms(10.5))]
+    apply_worker_list(peer, entries, Offset(1), ms(50))
     row = peer.workers.rows[WorkerId("w-1")]
     assert is_cold(row, ms(51.4))
     assert not is_cold(row, ms(51.6))
     assert list_digest(fleet) == list_digest(peer)
 
 
-def test_cold_worker_that_may_get_nothing_now_is_not_chosen():
+def test_cold_worker_that_reached_its_limit_is_not_chosen():
     fleet = cold_fleet(boxes=1)
     cold = cold_worker(fleet)
     warm = add_worker(fleet, make_worker("w-2", domain="south"))
@@ -220,7 +221,7 @@
 
 
 @pytest.mark.parametrize("found", [-1, 10**9, "soon", 1.5, True, [3]])
-def test_time_that_can_not_be_is_taken_for_the_settings_time(found: t.Any):
+def test_invalid_cold_time_is_replaced_by_the_configured_one(found: t.Any):
     entry = {
         "Backend": "writer",
         "Address": "10.1.0.9:8080",
@@ -243,8 +244,10 @@
     async with running_fleet() as fleet:
         await fleet.configure({**cold_config(), "Version": 8})
         box = fleet.boxes[0].node
-        await until(lambda: box.fleet.catalog.version == 8, "the configuration")
+        await until(lambda: box.fleet.catalog.version == 8, "the configuration arrives")
         await fleet.add_worker("w-9", cold_ms=60_000)
-        await until(lambda: WorkerId("w-9") in box.fleet.workers.rows, "the worker")
+        await until(
+            lambda: WorkerId("w-9") in box.fleet.workers.rows, "the worker is listed"
+        )
         assert is_cold(box.fleet.workers.rows[WorkerId("w-9")], box.clock.now())
         assert not is_cold(box.fleet.workers.rows[WorkerId("w-1")], box.clock.now())
--- a/tests/test_worker_words.py
+++ b/tests/test_worker_words.py
@@ -1,7 +1,7 @@
-"""Each word of a worker at the head of an answer is read, or not for a reason.
+"""Each header of workers' answers is either read or ignored for a stated reason.
 
-The protocol's words stand here as a list, so that one which the adapter drops without a
-word shows.
+The headers of the protocol are listed here, so that a header which the adapter ignores
+by mistake is found.
 """
 
 import pathlib
@@ -23,43 +23,43 @@
     "Server-Leaving": "LEAVING",
     "Retry-After": "RETRY_AFTER",
 }
-"""Words that the adapter reads, and its names for them."""
+"""Headers that the adapter reads, and the names of their constants."""
 
-BY_THE_LIBRARY = {"Connection", "Content-Length", "Transfer-Encoding"}
-"""Words that the HTTP library reads."""
+READ_BY_LIBRARY = {"Connection", "Content-Length", "Transfer-Encoding"}
+"""Headers that the HTTP library reads."""
 
 READ_AS_PLAIN_HTTP = {"Content-Encoding", "Date"}
-"""Words of HTTP itself that the adapter reads under their own names."""
+"""Standard HTTP headers that the adapter reads by their literal names."""
 
-NOT_USED = {
+IGNORED = {
     "Keep-Alive": "connections are kept for less than workers keep theirs",
     "Weight-Versions": "versions are known from the list; callers get the header",
-    "Instance-Id": "stands in answers to health checks, which are not made",
-    "Cold-Ms": "stands in answers to health checks; entries tell the same",
+    "Instance-Id": "sent in answers to health checks, which are not made",
+    "Cold-Ms": "sent in answers to health checks; list entries contain it",
 }
-"""Words that nothing reads, and why."""
+"""Headers that are not read, and why."""
 
 
-# Guards against words of workers that the adapter drops without anybody's knowing.
-@pytest.mark.parametrize(("word", "name"), READ.items())
-def test_word_is_read_from_answers(word, name):
-    assert getattr(wire, name) == word
+# Guards against headers that the adapter ignores by mistake.
+@pytest.mark.parametrize(("header", "name"), READ.items())
+def test_header_is_read_from_answers(header, name):
+    assert getattr(wire, name) == header
     source = (ADAPTER / "workers.py").read_text()
     assert re.search(rf"wire\.{name}\b", source)
 
 
-@pytest.mark.parametrize("word", sorted(READ_AS_PLAIN_HTTP))
-def test_word_of_http_is_read_from_answers(word):
-    assert f'"{word}"' in (ADAPTER / "workers.py").read_text()
+@pytest.mark.parametrize("header", sorted(READ_AS_PLAIN_HTTP))
+def test_standard_header_is_read_from_answers(header):
+    assert f'"{header}"' in (ADAPTER / "workers.py").read_text()
 
 
-def test_no_word_is_both_read_and_not_used():
-    read = READ.keys() | BY_THE_LIBRARY | READ_AS_PLAIN_HTTP
-    assert not read & NOT_USED.keys()
-    assert all(NOT_USED.values())
+def test_no_header_is_both_read_and_ignored():
+    read = READ.keys() | READ_BY_LIBRARY | READ_AS_PLAIN_HTTP
+    assert not read & IGNORED.keys()
+    assert all(IGNORED.values())
 
 
-def test_adapter_reads_no_word_that_is_not_listed():
+def test_adapter_reads_only_listed_headers():
     source = (ADAPTER / "workers.py").read_text()
     names = set(re.findall(r"headers\.get(?:all)?\(wire\.(\w+)", source))
     names |= set(re.findall(r"wire\.(\w+) (?:not )?in (?:resp\.)?headers", source))
