--- a/src/spanshunt/systems/blaming.py
+++ b/src/spanshunt/systems/blaming.py
@@ -1,4 +1,9 @@
-"""Evidence of the pooled answers against an entering version, and what it rests on."""
+"""Evidence of the pooled answers against an entering version, and what it rests on.
+
+These are the roll-outs that an operator's order starts on a box of the platform. The
+roll-outs of ``spanshuntd`` have guard rails and evidence of their own, in
+``guarding.py``.
+"""
 
 import math
 import typing as t
@@ -21,18 +26,21 @@
 from .tallies import trials_by_epoch
 
 EVIDENCE_THRESHOLD = 5.0
-"""Natural log of the change statistic at which a version is bad. A good version reaches
-it about once in 150 epochs, for each series tested."""
+"""Natural log of the change statistic at which a version is bad. A series is the epochs
+of one kind of fault on one route, or on all routes. In each series, a version whose
+share of faults is just at the ceiling reaches the threshold once in 150 epochs at most
+(e to the 5th power), on average. The lower its share, the rarer the false alarm."""
 
 SUSPECTED_PART = 0.4
-"""Part of the threshold from which on a version neither gets all requests nor succeeds
-until more answers decide. Beside failing engines of the leaving version, evidence below
-the threshold is often that of a bad version."""
+"""Part of the threshold from which on a version is suspected: it neither gets all
+requests nor succeeds until more answers decide. While workers of the leaving version
+fail, evidence below the threshold is often that of a bad version."""
 
 OTHER_WORKERS_FAULTS, OTHER_WORKERS_ANSWERS = 2, 4
-"""Faulty answers that a version must give outside its worst worker, once the other
-workers gave so many answers. A version that fails half of its answers does so in most
-cases."""
+"""Least number of faulty answers that the workers other than the worst one must have
+given for the faults to be the version's, and the number of answers of those workers
+from which on this is required. If a version fails half of its answers, the other
+workers show two faults in four answers in most cases."""
 
 PEER_LIVE_MS = 2_000
 """Time without a message after which a peer is not expected to record a verdict, in
@@ -40,7 +48,10 @@
 
 
 class Suspicion(t.NamedTuple):
-    """Evidence against an entering version.
+    """Result of the test with the strongest evidence against an entering version.
+
+    The evidence may be weak or none; the version is suspected only from `is_strong` on.
+    An operator's reason with the words "log evidence" comes from here.
 
     Attributes
     ----------
@@ -49,12 +60,14 @@
     finding : Finding
         Kind of fault.
     answers, faulty : int
-        All answers of the version there, and those with this fault.
+        Answers of the version there that were checked for this fault, and those with
+        it. For `Finding.SLOW` only answers with a known time are checked.
     usual, ceiling : float
-        Share of the leaving version's answers with this fault, and greatest share that
-        is still good.
+        Share of faults that the leaving version excuses at the newest epoch
+        (:meth:`Reference.usual_at`), and greatest share that is still good then.
     log_evidence : float
-        Natural log of the change statistic; minus infinity for no evidence.
+        Natural log of the change statistic; minus infinity for no evidence. The version
+        is bad from `EVIDENCE_THRESHOLD` on.
     """
 
     route: str
@@ -72,7 +85,7 @@
 
     @property
     def is_strong(self) -> bool:
-        """Whether the version must not advance."""
+        """Whether the version is suspected: it may not get all requests or succeed."""
         return self.log_evidence >= SUSPECTED_PART * EVIDENCE_THRESHOLD
 
     @property
@@ -91,7 +104,7 @@
     Attributes
     ----------
     entering, leaving : int
-        Answers of both versions that this box knows of.
+        Answers of the entering version and of all other versions that this box knows.
     suspicion : Suspicion
         The strongest suspicion against the entering version.
     heard, boxes : int
@@ -210,8 +223,9 @@
 def _is_fault_of_version(tallies: Tallies, finding: Finding) -> bool:
     """Return whether the faults are the version's and not those of one failing worker.
 
-    If the other workers gave too few answers to tell, the faults count as the
-    version's.
+    Workers are compared over all routes, also for a suspicion on one route, as tallies
+    by worker are not split by route. If the other workers gave too few answers to tell,
+    the faults count as the version's.
     """
     entering = [tally for key, tally in tallies.workers.items() if key.entering]
     if not entering:
--- a/src/spanshunt/systems/exposing.py
+++ b/src/spanshunt/systems/exposing.py
@@ -1,7 +1,9 @@
 """Shares of an entering version: by the age of its order, within the exposure bounds.
 
-The bounds limit what a bad version may get of an order's requests: a share of them and
-an absolute number. The steps keep both, whether or not the version shows faults.
+The exposure is the number of an order's requests that the entering version gets. The
+bounds limit it for a bad version to ``share`` times the requests of the order plus the
+slack, a number of requests. The steps keep this limit, whether or not the version shows
+faults.
 """
 
 import typing as t
@@ -27,10 +29,10 @@
 margin covers boxes that see an order some tenths of a second apart."""
 
 FULL_PHASE_EXPOSURE_PART, FULL_PHASE_MAX_MS = 0.48, 3_000
-"""Part of the exposure that is reserved for the full phase, at the end, in which the
-version gets all requests, and the longest full phase in ms. A version that is bad only
-under this load, or that turns bad late, shows it then; a longer order does not need a
-longer full phase."""
+"""Part of the allowed share that is reserved for the full phase, at the end, in which
+the version gets all requests, and the longest full phase in ms. A version that is bad
+only under this load, or that turns bad only near the end of the order's time, shows it
+then; a longer order does not need a longer full phase."""
 
 POSTPONE_FROM_MS, POSTPONE_UNTIL_MS = 1_500, 700
 """How long before the planned full phase boxes check whether it would exceed the
@@ -42,30 +44,30 @@
 the full phase then starts only when the order's time is over."""
 
 POSTPONE_SLACK_PART = 0.85
-"""Part of the allowed number of requests that may be used when the full phase is
-checked. The steps leave 0.4 of it unused, which the random sizes of sessions need even
-on days without trouble."""
+"""Part of the slack that may be used when the full phase is checked. The steps use only
+`USED_SLACK_PART` of it, half. The check allows more, as the random sizes of sessions
+need some of the other half even if nothing fails."""
 
 SECOND_STEP_FACTOR = 2.0
-"""Ratio of the second share to the first, so that a version that turns bad late also
-gets enough requests to show it."""
+"""Ratio of the second share to the first, so that a version that turns bad in the
+second half of the order's time also gets enough requests to show it."""
 
 USED_SHARE_PART, USED_SLACK_PART = 0.96, 0.5
-"""Parts of the allowed share and of the allowed number of requests that the steps use.
-The rest of the number is a margin, as it is divided by an estimated request rate."""
+"""Parts of the allowed share and of the slack that the steps use. The rest of the slack
+is a margin, as the slack is divided by an estimated number of requests."""
 
 RATE_FROM, RATE_UNTIL = 0.4, 0.46
 """Parts of the order's time between which the request rate is measured. By then, boxes
 have counted for some seconds, and they can still exchange messages twice before
-sessions enter by the result. If boxes disagree, a session that one box moves comes back
-at another."""
+sessions enter by the result. If boxes had different results, a session that moved to
+the entering version at one box would move back to the leaving one at another."""
 
 RATE_WINDOW_S = 6
 """Number of latest whole seconds over which the request rate is measured."""
 
 MAX_EXTRA_SHARE = 0.08
-"""Most that the allowed number of requests adds to the share. It limits the harm of a
-request rate that is estimated too low."""
+"""Greatest share of requests that the slack adds. It limits the harm of a request rate
+that is estimated too low."""
 
 
 class ExposureSteps(t.NamedTuple):
@@ -89,7 +91,11 @@
 
 
 def full_phase_part(bounds: ExposureBounds, duration_ms: int) -> float:
-    """Return the length of the full phase, as a part of the order's time."""
+    """Return the length of the full phase, as a part of the order's time.
+
+    As the version gets all requests in the full phase, it gets the same part of the
+    order's requests there if they come evenly.
+    """
     part = FULL_PHASE_EXPOSURE_PART * USED_SHARE_PART * bounds.share
     return min(part, FULL_PHASE_MAX_MS / max(1, duration_ms))
 
@@ -106,8 +112,7 @@
     bounds : ExposureBounds
         Bounds of what a bad version may get of the order's requests.
     extra : float
-        What the allowed number of requests adds to the share, as a part of the
-        requests.
+        Share of the order's requests that the slack adds.
     duration_ms : int
         How long the order may take, in ms.
     """
@@ -127,18 +132,19 @@
 
 
 def full_phase_start_ms(fleet: Fleet, row: RolloutRow) -> int:
-    """Return the age of an order from which on all requests enter, in ms.
+    """Return the age of an order at which its full phase starts, in ms.
 
-    The age is greater than planned, up to the whole time of the order, if the full
-    phase would give a bad version too many requests: the bounds cover the order's time
-    only.
+    This is the planned age or, if greater, the postponed age in ``row.full_from_ms``,
+    which is 0 if the full phase was not postponed. It is postponed, up to the whole
+    time of the order, if it would give a bad version too many requests, as the bounds
+    cover the order's time only; and also while the version is suspected.
     """
     planned = int(order_steps(fleet, row).full_at * row.duration_ms)
     return max(planned, row.full_from_ms)
 
 
 def extra_share(bounds: ExposureBounds, requests: float) -> float:
-    """Return what the allowed number adds to the share, given the order's requests."""
+    """Return the share that the used part of the slack adds, given all requests."""
     return USED_SLACK_PART * bounds.slack / requests if requests > 0 else 0.0
 
 
@@ -217,7 +223,8 @@
     now.
 
     The steps follow the order's time while the bounds count requests: if most requests
-    came while the share was large, as in a late burst, less is left for the full phase.
+    came while the share was large, as in a burst after the second step, less is left
+    for the full phase.
     """
     steps = order_steps(fleet, row)
     left_ms = steps.full_at * row.duration_ms - (now - row.began)
--- a/src/spanshunt/systems/guarding.py
+++ b/src/spanshunt/systems/guarding.py
@@ -1,4 +1,7 @@
-"""Guard rails: roll-outs advance, hold and are pulled back on the evidence.
+"""Guard rails of ``spanshuntd``: roll-outs advance, hold or are pulled back.
+
+The roll-outs that operators' orders start on the platform are judged by ``judging.py``
+and ``blaming.py``, which have tests and thresholds of their own.
 
 Any box may judge. A step names the stage in which it was judged and is applied only in
 that stage, so a step judged by two boxes, or by a box that was paused, takes effect
@@ -31,14 +34,16 @@
 from .sequential import log_evidence_below
 
 SIGNAL_COUNT = 3
-"""Number of signals that are tested: ratings, errors and late first tokens. The error
-rate is split among them."""
+"""Number of signals that are tested: ratings, errors and slow first tokens. The
+probability of a false alarm, ``GuardRails.alpha``, is split among them."""
 
 MEAN_EPOCHS_TO_FALSE_ALARM = 144_000
-"""Mean epochs between two false alarms of one test after a roll-out: 100 days."""
+"""Mean number of epochs between two false alarms of one signal, over all its scopes,
+after a roll-out is done: 100 days, in epochs of one minute."""
 
 HOLD_PART = 0.5
-"""A roll-out holds while the evidence is at least this part of the threshold."""
+"""A running roll-out holds its stage while the evidence is at least this part of the
+threshold."""
 
 
 class Scope(t.NamedTuple):
@@ -49,9 +54,11 @@
     name : str
         The scope, as text for operators.
     floor : float
-        Share of good ratings below which the version is bad.
+        Least acceptable share of good ratings; the version is bad below it.
     share : float
-        Part of the error rate that the scope gets.
+        Part of the probability of a false alarm that the scope gets: half for all of
+        the version, a quarter for all request classes together and a quarter for all
+        organisations together. It is no share of requests.
     matches : callable
         Returns whether a cell belongs to the scope.
     """
@@ -63,7 +70,10 @@
 
 
 class StrongestEvidence(msgspec.Struct, frozen=True):
-    """The strongest evidence against a version.
+    """Result of the test with the strongest evidence against a version.
+
+    Its `log_evidence` is relative to the threshold, unlike that of the tests and of
+    :class:`blaming.Suspicion`.
 
     Attributes
     ----------
@@ -117,7 +127,10 @@
 
 
 def _is_withdrawn(config: Config, row: RolloutRow) -> bool:
-    """Return whether a roll-out makes no more steps: its version is out of service."""
+    """Return whether the version of a roll-out is withdrawn, so no step can follow.
+
+    A roll-out that is done is not withdrawn: it can still be pulled back.
+    """
     version = config.versions.get(row.version)
     withdrawn = version is None or version.state is VersionState.WITHDRAWN
     return withdrawn or row.state is RolloutState.PULLED_BACK
@@ -126,7 +139,11 @@
 def due_step(
     config: Config, row: RolloutRow, evidence: Evidence, box: BoxId, wall: Millis
 ) -> RolloutStep | None:
-    """Return the step that is due for one roll-out; None to hold."""
+    """Return the step that is due for one roll-out.
+
+    None means that a running roll-out holds its stage, that one that is done stays in
+    service, or that the version is already withdrawn.
+    """
     if _is_withdrawn(config, row):
         return None
     epochs = counts_by_epoch(evidence, row.version)
--- a/src/spanshunt/systems/judging.py
+++ b/src/spanshunt/systems/judging.py
@@ -23,8 +23,9 @@
 from .watching import check_turned_bad
 
 SUSPECTED_DELAY_MS = 1_000
-"""How much the full phase is postponed while the version is suspected, in ms. This
-repeats each time the full phase comes near."""
+"""How much the full phase is postponed while the version is suspected
+(:attr:`blaming.Suspicion.is_strong`), in ms. This repeats each time the full phase
+comes near."""
 
 
 class Judgement(t.NamedTuple):
@@ -67,7 +68,10 @@
 def update_suspicion(
     fleet: Fleet, row: RolloutRow, now: Millis
 ) -> RecordedSuspicion | None:
-    """Return the suspicion that this box must record now, if any.
+    """Update since when a suspicion is due; return it if this box must record it now.
+
+    `suspected_at` is set while the suspicion is strong and stronger than the recorded
+    one by `MIN_RECORD_INCREASE`, and unset otherwise.
 
     Evidence that only boxes hold is lost when they end. In a test in which all boxes
     ended in the middle of an order, five of six versions that made half of their
@@ -107,10 +111,11 @@
 
 
 def update_verdict(fleet: Fleet, row: RolloutRow, now: Millis) -> Judgement | None:
-    """Return the verdict that this box must record now, if any.
+    """Judge a roll-out, update its row and return the verdict to record now, if any.
 
-    A version judged bad is rolled back on this box at once, recorded or not. Also
-    checks whether a version turned bad after its success.
+    A version judged bad is rolled back on this box at once, recorded or not, while a
+    success only sets `succeeded_since` until it is recorded. A version that succeeded
+    is checked and marked if it turned bad.
     """
     due_at, judgement = _update_due_verdict(fleet, row, now)
     if judgement.verdict is Verdict.RUNNING:
@@ -125,7 +130,12 @@
 def _update_due_verdict(
     fleet: Fleet, row: RolloutRow, now: Millis
 ) -> tuple[Millis, Judgement]:
-    """Return the verdict to record and since when it is due; running for none."""
+    """Update the row; return since when a verdict is due, and the verdict.
+
+    The verdict is `Verdict.RUNNING` if none is due. A version that turned bad is not
+    checked again, so the time of the last check is the time of the finding; if a peer
+    reported the finding, it is the time of this box's last check before that.
+    """
     check_turned_bad(fleet, row, now)
     if (
         row.turned_bad_reason
--- a/src/spanshunt/systems/ramping.py
+++ b/src/spanshunt/systems/ramping.py
@@ -1,5 +1,9 @@
 """Roll-outs: which version answers a request, and how orders and verdicts are applied.
 
+The entering version is the one that the order names. The leaving version stands for all
+other versions of the service; in a `VersionRule`, for those that no earlier order
+barred. ``fleet.workers.leaving`` is something else: workers that are about to stop.
+
 The version of a session is decided by a hash and the age of the order, so all boxes
 agree without exchanging messages: callers' connections move between boxes, and only the
 box that answered a session knows which version it ran on. `exposing` computes the share
@@ -28,7 +32,12 @@
 
 
 class Reason(enum.Enum):
-    """Why a request is answered by a version."""
+    """Why a request is answered by a version.
+
+    A request is selected ("drawn") if the hash of its session, or of the request if it
+    has none, is below the entering version's share at the time. The verdict in
+    `HAS_VERDICT` is a success or a rollback; the version that answers tells which.
+    """
 
     NO_ORDER = "no order"
     HAS_VERDICT = "judged"
@@ -175,8 +184,11 @@
     """Return whether an order is the known one, possibly written again after a restore.
 
     The order keeps the offset at which it was first known, since sessions are selected
-    by a hash of that offset. An order that is older than any copy of the store keeps
-    its offset across a restore, so an equal order at another offset is a different one.
+    by a hash of that offset. A restore of the store from a copy begins an era, in which
+    offsets go back and are assigned again. An order that began less than
+    `MAX_COPY_AGE_MS` before the restore may be missing from the copy; operators' tools
+    then write it again, at another offset. An older order is in every copy and keeps
+    its offset, so an order of the same content at another offset is a different one.
     """
     if order in (known.order, known.newest_order):
         return True
@@ -201,9 +213,11 @@
 def apply_start_time(row: RolloutRow, began: Millis, *, seen: bool) -> None:
     """Apply a reported start time of an order; a box that saw the order arrive wins.
 
-    Between reports of the same kind the earlier one counts, since reports are delayed
-    but never early. A start time from a wall clock may be early by the error of that
-    clock, and sessions would then move before half of the order's time is over.
+    A report of a box that saw the order is late by the time that it was on its way and
+    never early, so the earliest one counts. Any other start time is derived from a wall
+    clock and may be early by the error of that clock, and sessions would then move
+    before half of the order's time is over. It counts only until a box that saw the
+    order reports; of several such times, the earliest one counts as well.
     """
     if seen and not row.seen:
         row.began, row.seen = began, True
--- a/src/spanshunt/systems/references.py
+++ b/src/spanshunt/systems/references.py
@@ -1,10 +1,12 @@
 """The reference for an entering version: the leaving version, as far as it is healthy.
 
-Answers of any version fail or are late for two reasons: trouble that affects every
-worker for a while, and single failing workers. Trouble excuses an entering version
-while it lasts; failing workers of the leaving version do not. The bound of the entering
-version therefore follows the leaving version epoch by epoch, but only as far as the
-healthiest worker of the leaving version shows the fault, too.
+The leaving version stands for all other versions of the service that answer under the
+order. Answers of any version fail or are slow for two reasons: a disturbance of the
+whole fleet, which affects every worker for a while, and single failing workers. A
+disturbance excuses faults of the entering version while it lasts; failing workers of
+the leaving version do not. The ceiling, the greatest share of faults of the entering
+version that is still good, therefore follows the leaving version epoch by epoch, but
+only as far as the healthiest worker of the leaving version shows the fault, too.
 """
 
 import math
@@ -31,14 +33,16 @@
 
 MIN_WINDOW_ANSWERS = 25
 """Answers up to which older epochs are added to a window. When all requests enter, the
-last answers of the leaving version show the effect of their load."""
+leaving version gets hardly any answers; its last ones still show the effect of the
+load."""
 
 FULL_PHASE_MIN_CEILINGS = {
     Finding.FAILED: MIN_CEILINGS[Finding.FAILED],
     Finding.SLOW: 0.6,
 }
-"""Shares of faulty answers below which no version is bad in the full phase. Its engines
-then read prompts that they have nothing cached of, and write in between."""
+"""`MIN_CEILINGS` in the full phase. The workers of the entering version then prefill
+prompts of which they have nothing cached and generate output in between, so a good
+version may be slow as well."""
 
 PRIOR_ANSWERS = 10
 """Weight of the share over the order's whole time, in answers, when it is averaged with
@@ -56,9 +60,11 @@
     finding : Finding
         Kind of fault.
     usual : float
-        Share of its answers with the fault, over the order's time.
+        Share of its answers with the fault, over the order's whole time and from all
+        workers. `usual_at` gives the part of it that is excused in an epoch.
     common_part : float
-        Part of that share that its healthiest worker may show as well, from 0 to 1.
+        Part of that share that all its workers have in common, from 0 to 1. It is an
+        upper estimate by the healthiest worker.
     epochs : dict
         Answers and faulty answers by epoch.
     full_epoch : int
@@ -72,7 +78,11 @@
     full_epoch: int
 
     def usual_at(self, epoch: int) -> float:
-        """Return the share of faults in an epoch that all workers have in common."""
+        """Return the share of faults in an epoch that the leaving version excuses.
+
+        It is the share in the window around the epoch, averaged with `usual`, times
+        `common_part`.
+        """
         answers, faulty = 0, 0
         for near in range(epoch + WINDOW_EPOCHS, -1, -1):
             if near < epoch - WINDOW_EPOCHS and answers >= MIN_WINDOW_ANSWERS:
@@ -108,8 +118,8 @@
 def _common_part(tallies: Tallies, finding: Finding) -> float:
     """Return the part of the leaving version's faults that is common to its workers.
 
-    It is the share of faults of the healthiest worker relative to that of all, or 1 if
-    all workers are alike or none gave enough answers.
+    It is the upper estimate of the healthiest worker's share of faults relative to the
+    share of all, or 1 if all workers are alike or none gave enough answers.
     """
     leaving = [tally for key, tally in tallies.workers.items() if not key.entering]
     trials = sum(tally.trials(finding) for tally in leaving)
@@ -122,6 +132,11 @@
 
 
 def _share_upper_bound(tally: Tally, finding: Finding) -> float:
-    """Return a worker's greatest plausible share of faults: one deviation above."""
+    """Return an upper estimate of a worker's share of faults.
+
+    It adds one fault and one standard deviation to the count. A worker with few answers
+    may show no fault by chance; an estimate that is too low would lower the ceiling and
+    roll good versions back.
+    """
     faults = tally.faults(finding) + 1
     return min(1.0, (faults + math.sqrt(faults)) / tally.trials(finding))
--- a/src/spanshunt/systems/sequential.py
+++ b/src/spanshunt/systems/sequential.py
@@ -3,7 +3,9 @@
 Each test is a mixture of likelihood ratios against the bound. For any true share on the
 good side of the bound, the mixture is a non-negative supermartingale that starts at 1,
 so by Ville's inequality it ever reaches ``1 / alpha`` with a probability of at most
-``alpha``. A test needs only counts, so boxes can pool evidence in any order.
+``alpha``. A test needs only counts, so boxes can pool evidence in any order. A hit is
+what the tested share counts: a good answer in tests against a floor, the least good
+share, and a faulty one in tests against a ceiling, the greatest good share.
 """
 
 import math
@@ -16,8 +18,9 @@
 it."""
 
 MIN_EXCESS = 2.0
-"""With at most this many hits too few or too many since any epoch, the statistic is not
-computed: it would be far below any threshold in use."""
+"""If the hits are at most this many too few or too many, whichever epoch they are
+counted from, the statistic is not computed: it would be far below any threshold in
+use."""
 
 _EPSILON = 1e-6
 
@@ -74,6 +77,8 @@
 ) -> float:
     """Return the log of the Shiryaev-Roberts statistic for a rise above `ceilings`.
 
+    Each epoch has a ceiling of its own, at the same place in the list.
+
     Parameters
     ----------
     epochs : list of (int, int)
--- a/src/spanshunt/systems/succeeding.py
+++ b/src/spanshunt/systems/succeeding.py
@@ -1,4 +1,4 @@
-"""When an entering version has succeeded: by its answers and the reports of most boxes.
+"""When an entering version has succeeded: by its answers, once enough peers are heard.
 
 A success can't be undone, as the workers of the leaving version stop at once. An
 absence of known faults is no proof if few answers are known or no other box was heard.
@@ -17,13 +17,14 @@
 from .tallies import count_answers
 
 SUCCESS_PART, FEW_ANSWERS_SUCCESS_PART = 0.27, 0.55
-"""Parts of the full phase after which a good version may succeed, the second one if few
-answers are known."""
+"""Parts of the full phase after which a good version may succeed: the first one if at
+least `SUFFICIENT_ANSWERS` answers are known, the second one if fewer are."""
 
 SUCCESS_LEFT_MS, FEW_ANSWERS_SUCCESS_LEFT_MS = 1_200, 600
-"""And how long before the end of the order's time it may succeed at the earliest, in
-ms. The later it does, the fewer faults are missed. The remaining time suffices to
-record a verdict, even by a second box or at a slow store."""
+"""Greatest time before the end of the order's time at which it may succeed, in ms, with
+sufficient and with few answers. Of this age and the age by the part of the full phase
+the later one applies. The later a version succeeds, the fewer faults are missed; the
+remaining time suffices to record a verdict, even by a second box or at a slow store."""
 
 SUFFICIENT_ANSWERS = 30
 """Answers of the entering version that suffice for the earlier success. A version that
@@ -33,7 +34,8 @@
 MIN_ANSWERS = 10
 """Answers without which a version does not succeed while requests come. In ten answers,
 a version that fails half shows three or more faults in 19 of 20 cases. An order that
-waits for these answers is late but does no harm: the leaving version is still there."""
+waits for these answers exceeds its time but does no harm, as the leaving version is
+still there."""
 
 MIN_SPAN_MS, MIN_SPAN_PART = 4_000, 0.25
 """Least time from the first answers of the version to its success, in ms and as a part
@@ -44,9 +46,10 @@
 in ms."""
 
 SMALL_FLEET_PEERS, MIN_LIVE_PEERS = 12, 6
-"""Number of peers up to which all are heard in time, so that half of them must be; and
-the number that must be heard of more peers. The streams that a box keeps open itself
-reach twelve peers."""
+"""Greatest number of peers of a small fleet, in which a box must hear at least half of
+the expected peers; and the least number of peers that it must hear in a larger fleet.
+A box reaches twelve peers over the streams that it keeps open itself, so in a small
+fleet it can hear each peer directly."""
 
 GONE_PEER_FAILURES = 3
 """Failed calls in a row after which a box that was never heard is no longer awaited."""
@@ -85,12 +88,14 @@
 
 
 def hears_enough_peers(fleet: Fleet, row: RolloutRow, now: Millis) -> bool:
-    """Return whether this box hears most of the boxes that may know more than it does.
-
-    In a large fleet a box talks to only a few boxes, which pass on the reports of
-    others, so the boxes that it hears are compared with those that it fails to reach.
-    Compared with all boxes, no box in a fleet of 60 would hear a majority, and each of
-    them would read the store's verdicts every second.
+    """Return whether this box hears enough peers to rely on what it knows.
+
+    In a small fleet, at most half of the expected peers may be unheard. In a large
+    fleet a box talks to only a few boxes, which pass on the reports of others, so it
+    must hear `MIN_LIVE_PEERS` and at least as many peers as it fails to reach. A box
+    that does not hear enough may be cut off and reads the recorded verdicts from the
+    store every second. Compared with all boxes, no box in a fleet of 60 would hear
+    enough, and each of them would do so.
     """
     heard = set(live_peers(fleet, now))
     expected = [peer for peer in fleet.peers.values() if _is_expected(peer, row)]
--- a/src/spanshunt/systems/tallies.py
+++ b/src/spanshunt/systems/tallies.py
@@ -15,10 +15,11 @@
 from ..utils import unit_hash
 
 MIN_CEILINGS = {Finding.FAILED: 0.1, Finding.SLOW: 0.25}
-"""Shares of faulty answers below which no version is bad. Single answers fail on
+"""Least value of the ceiling, the greatest share of faulty answers that is still good:
+whatever the leaving version shows, no version is bad below it. Single answers fail on
 healthy workers as well, when a worker or a link breaks. A good version is slow at
-first, while its engines have no prompts cached: one in ten answers, on a day without
-trouble."""
+first, while its workers have no prompts cached: one in ten answers, even if no worker
+fails."""
 
 MIN_FAULTS = 3
 """Number of faulty answers below which there is no evidence against a version."""
@@ -32,8 +33,9 @@
 """An answer that began."""
 
 FAILED = Tally(answers=1, failed=1)
-"""An answer that failed. If it had begun it is counted again, so each count belongs to
-its own epoch."""
+"""An answer that failed. An answer that breaks off after its first byte is counted
+twice, as `BEGAN` and as `FAILED`, each in the epoch in which it happens. It is two
+trials with one fault, so if all answers break off, the share of faults is a half."""
 
 IN_TIME, SLOW = Tally(timed=1), Tally(timed=1, slow=1)
 """Answers whose time to the first byte is known, in time or slow."""
@@ -50,7 +52,11 @@
     now: Millis,
     observed: Tally,
 ) -> None:
-    """Count an observation of an answer, unless the newest order was rolled back."""
+    """Count an observation of an answer, unless the newest order was rolled back.
+
+    It counts for the entering version if the worker serves that version, and else for
+    the leaving version, which stands for all other versions of the service.
+    """
     row = fleet.rollouts.rows.get(service)
     if row is None or row.verdict is Verdict.ROLLED_BACK:
         return
@@ -99,7 +105,10 @@
 
 
 def count_answers(tallies: Tallies, *, entering: bool) -> int:
-    """Return how many answers of the entering or the leaving version are known."""
+    """Return how many answers of the entering or the leaving version are known.
+
+    An answer that broke off after it began counts twice; see `FAILED`.
+    """
     return sum(
         tally.answers
         for key, tally in tallies.routes.items()
@@ -112,8 +121,9 @@
 ) -> dict[int, tuple[int, int]]:
     """Return the answers that were checked for a fault, and those with it, by epoch.
 
-    They are answers of the entering or the leaving version on a route; "" stands for
-    all routes.
+    All answers are checked for `Finding.FAILED`, those with a known time for
+    `Finding.SLOW`. The answers are of the entering or the leaving version on a route;
+    "" stands for all routes.
     """
     epochs: dict[int, tuple[int, int]] = {}
     for key, tally in tallies.routes.items():
@@ -126,10 +136,12 @@
 
 
 def has_excess_faults(row: RolloutRow, route: str) -> bool:
-    """Return whether answers speak against the entering version, on a route or overall.
+    """Return whether the entering version exceeds the least ceiling on faults.
 
-    This needs less evidence than a verdict. An error moves a session whose answer
-    failed, or costs it one more attempt.
+    Its share of faults, on the route or on all routes, must be above `MIN_CEILINGS`,
+    with `MIN_FAULTS` faults in all. This is no test: it needs less evidence than a
+    verdict. If the result is wrong, a session whose answer failed moves to the leaving
+    version without need, or makes one more attempt on a bad version.
     """
     routes = pooled_tallies(row).routes
     entering = [(key, tally) for key, tally in routes.items() if key.entering]
--- a/src/spanshunt/systems/watching.py
+++ b/src/spanshunt/systems/watching.py
@@ -1,8 +1,8 @@
 """Checks after a success: whether the version turned bad, and whether others are left.
 
-The workers of the leaving version usually stop at its success. Then no fallback is left
-and the box can only report the fault. If they are still there, requests go back to
-them.
+The workers of the leaving version, which means all other versions, usually stop when
+the entering version succeeds. Then no fallback is left and the box can only report the
+fault. If they are still there, requests go back to them.
 """
 
 import math
@@ -26,7 +26,8 @@
 
 TURNED_BAD_THRESHOLD = 9.0
 """Natural log of the change statistic at which a version has turned bad. The checks go
-on without end, and a good version reaches it about once in 8,000 epochs of a series."""
+on without end. In each series, a version at the ceiling reaches it once in 8,000 epochs
+at most, on average."""
 
 CHECK_PERIOD_MS = 1_000
 """Period of the checks, in ms. At 30 answers a second, a version that fails half shows
@@ -53,8 +54,8 @@
 def turned_bad_suspicion(tallies: Tallies) -> Suspicion:
     """Return the strongest suspicion of failures after a success, on any route.
 
-    There is no leaving version to compare with, so only failures count, against
-    the greatest share that trouble of the whole fleet explains.
+    There is no leaving version to compare with, so only failures count, and the ceiling
+    is the greatest one of any version, `MAX_CEILINGS`.
     """
     routes = sorted({key.route for key in tallies.routes} | {""})
     found = [_route_suspicion(tallies, route) for route in routes]
--- a/tests/test_session_moves.py
+++ b/tests/test_session_moves.py
@@ -1,16 +1,17 @@
 """Sessions keep their version in the first half of a roll-out's time.
 
 Six requests of sessions on the leaving version ran on the entering version within four
-seconds of a good order, in a fleet without faults; three in all are allowed.
+seconds of a good order, in a fleet without faults; the limit is three in all.
 
 Callers' connections change boxes, so a third of the sessions reach more than one box,
 while only the box that answered a session knows its version. Another box selected the
 version by the session's hash, which moved one session in twenty, however old, and the
 first box moved it back. All boxes must agree on the version, so it must not depend on
 what one box remembers. In seven simulated runs, each moved request was at a box that
-did not know its session. With 10,500 other hashes, the same traffic moved more than
-three requests in 0.51 % of orders and 0.58 on average (`bench/moves.py`), so most runs
-do not show the fault.
+did not know its session. Under 10,500 other salts of the hash, the same traffic moved
+more than three requests in 0.51 % of orders and 0.58 requests an order on average
+(`bench/moves.py`), so most runs did not show the fault. Sessions now enter only after
+the first half of the order's time, by the same hash at all boxes.
 """
 
 import random
