--- a/src/spanshunt/systems/choice.py
+++ b/src/spanshunt/systems/choice.py
@@ -1,4 +1,9 @@
-"""Choice of the version that answers a request, from permissions and evidence."""
+"""Choice of the version that answers a request, from permissions and evidence.
+
+``spanshuntd`` uses this module. `preferring` computes which versions requests prefer;
+this module applies that to one request, after pinned sessions, permissions and
+roll-outs.
+"""
 
 import typing as t
 
@@ -30,16 +35,28 @@
 RATING_RATE_TRIAL = 1.0
 RATING_RATE_UNCERTAIN = 0.5
 RATING_RATE_STABLE = 0.03
-"""Shares of answers sent for rating: of a version on trial, of a version whose
-confidence interval contains the target, and of a settled version, to notice when it
+"""Shares of answers that are sent for rating.
+
+The first is for versions that need evidence soon: a cheaper active version on trial and
+an entering version in its roll-out. The second is used while no version is known to
+meet the target, as the lower bound of its estimate is below it, and for a cascade. The
+third is for all other answers, including those to requests that name an active version
+and to sessions that are pinned to one; it suffices to notice when a version
 degrades."""
 
-MAX_NEW_MODEL_SHARE = 0.25
-"""Maximum share of other versions' requests that an entering version takes."""
+MAX_SHARE_FROM_OTHER_MODELS = 0.25
+"""Maximum share of requests that an entering version takes if they would otherwise go
+to another model. Where they would go to the active version of its own
+model, only the share of the roll-out applies. Both limits are compared with the same
+draw, so this one has an effect while the share of the roll-out is greater."""
 
 
 class RolloutDraw(t.NamedTuple):
-    """An entering version whose roll-out share includes a request, and the draw."""
+    """An entering version whose roll-out share includes a request, and the draw.
+
+    The draw is uniform in 0 to 1 over all sessions; it is 0 for a request that names
+    the version.
+    """
 
     row: VersionRow
     draw: float
@@ -116,10 +133,11 @@
 
 
 def _may_keep_version(config: Config, org: OrgRow, pin: VersionId) -> bool:
-    """Return whether a session may stay on its version.
+    """Return whether permissions and the version's state let a session stay on it.
 
-    If all workers of the version are gone, the session is refused and waits for them
-    instead of moving to another version.
+    If they do not, `choose` selects a version as for a request without a session. If
+    they do, it selects no other version: it refuses the request if the version is not
+    usable for another reason, for example if all its workers are gone.
     """
     row = config.versions.get(pin)
     if row is None or not org.allows_version(row):
@@ -203,11 +221,18 @@
 ) -> bool:
     """Return whether an entering version takes a request drawn into its share.
 
-    It takes the requests of the preceding version of its model. Of other requests it
-    takes at most :data:`MAX_NEW_MODEL_SHARE`, and only if it may meet the target and,
-    for a known model, is cheaper; otherwise it would get no evidence where the
-    preceding version is not in use. Its own ratings are judged by the guard rails and
-    ignored here: a version that gets no requests is never found to be bad.
+    `previous` is the active version of the same model. If it would serve the request,
+    the entering version takes its place. It also takes some requests that another model
+    would serve, at most :data:`MAX_SHARE_FROM_OTHER_MODELS`, since it would otherwise
+    get no evidence where `previous` is not in use.
+
+    For those, the estimate and cost of `previous` stand for the entering version's:
+    `previous` must possibly meet the target and be cheaper than the version in use. The
+    entering version's own ratings are left to the guard rails, because a version that
+    gets no requests is never found to be bad. Without a `previous`, the model is new
+    and its own ratings decide, whatever its cost. It gets requests until it has
+    :data:`~spanshunt.systems.learning.MIN_TRIAL_RATINGS`, and afterwards while it may
+    meet the target.
     """
     main = preference.main
     previous = next(
@@ -215,7 +240,7 @@
     )
     if previous is not None and previous.name == main.row.name:
         return True
-    if rollout_draw.draw >= MAX_NEW_MODEL_SHARE:
+    if rollout_draw.draw >= MAX_SHARE_FROM_OTHER_MODELS:
         return False
     if previous is None:
         return assess_version(pool, rollout_draw.row, request).estimate.may_meet(target)
--- a/src/spanshunt/systems/choice_rows.py
+++ b/src/spanshunt/systems/choice_rows.py
@@ -11,7 +11,13 @@
 
 
 class Rule(enum.Enum):
-    """Reason why a version was chosen."""
+    """Reason why a version was chosen.
+
+    The names and values appear in log lines and replies. "With confidence" there means
+    that the lower bound of the estimated quality meets the target; "sure" refers to the
+    confidence that an engine reports with its answer. ``EXPLORE`` is the rule of a
+    trial, ``CASCADE`` that of a cascade between versions (see `preferring`).
+    """
 
     ASKED = "asked for by name"
     SESSION = "the session is on it"
@@ -41,8 +47,8 @@
     rate : float
         Probability with which the answer is sent for rating.
     fallback : str
-        The version to ask if the answer of a cascade is not good enough; empty for
-        none.
+        The version to ask if `version` is the first of a cascade and its engine is not
+        sure of the answer; empty without a cascade.
     excluded : tuple of Exclusion
         The versions that were excluded, with reasons.
     """
--- a/src/spanshunt/systems/estimating.py
+++ b/src/spanshunt/systems/estimating.py
@@ -1,8 +1,16 @@
 """Estimate of the time until an engine's first event, used for all routing decisions.
 
 The time is ``wait + prefill``: the prefill time of requests queued at the engine, plus
-the uncached tokens of the prompt times the prefill time per token, which is learned for
-each service and model. The choice of worker and model, repeats and the priority at the
+the uncached tokens of the prompt times the prefill time per token, plus a base time.
+Both times are learned for each service and model. The waiting time is the sum of three
+parts: the prefill time of this box's own queued requests, of those that other boxes
+(peers) reported, and of those that they did not report, which is estimated from late
+answers.
+
+Processing a prompt token is also called reading it: in names, ``read`` is a number of
+tokens and ``read_ms`` a prefill time.
+
+The choice of worker and model, repeats and the priority at the
 engine use this estimate; refusals and their retry times do not yet.
 """
 
@@ -25,15 +33,18 @@
 from .keeping import record_prefill
 
 UNREPORTED_HALF_LIFE_MS = 1_500
-"""Half-life of the estimated waiting time from other boxes that they did not report, in
-ms, while no answer updates it: a queue of prompts is processed in about a second."""
+"""Half-life, in ms, of the estimate of unreported waiting time. The estimate decays
+from one answer of the engine to the next, which updates it: a queue of prompts is
+processed in about a second."""
 
 UNREPORTED_SMOOTHING = 0.5
 """Weight of one answer in the estimate of unreported waiting time at its engine."""
 
 SPEED_QUANTILE = 0.5
-"""Quantile of the times to the first event that is taken as the speed. Such a time more
-often includes unknown waiting requests than unknown cached parts."""
+"""Quantile of the times to the first event that the learned speed follows: the median.
+A time is more often too long, because of waiting requests unknown to this box, than too
+short because of unknown cached parts. By how much it is too long does not affect the
+median."""
 
 MAX_SPEED_STEP, MIN_SPEED_STEP = 0.6, 0.06
 """Relative steps by which a learned speed changes, at first and later. At 0.06 the
@@ -44,15 +55,17 @@
 prompt."""
 
 MAX_WAIT_FRACTION = 0.3
-"""An answer updates the speed only if waiting was at most this fraction of its expected
-time."""
+"""An answer updates the speed only if the expected waiting time was at most this
+fraction of the expected time to its first event. After a longer wait, the measured time
+tells more about the queue."""
 
 PEER_SPEED_WEIGHT = 0.2
-"""Weight of a peer's speed against the own estimate at each exchange."""
+"""Weight of a peer's speed against this box's estimate at each exchange."""
 
 DEFAULT_UNSEEN_CACHE_RATE = 0.3
-"""Initial probability that the cache owner of a prompt has it cached although this box
-does not know of it."""
+"""Initial probability that the cache owner of a prompt's shared parts has them cached
+although this box does not know of it. The owner is the engine that
+:func:`~spanshunt.systems.placing.cache_owner` returns."""
 
 UNSEEN_CACHE_SMOOTHING = 0.1
 """Weight of one answer in that probability."""
@@ -101,16 +114,19 @@
     Attributes
     ----------
     own_wait_ms, others_wait_ms : float
-        Prefill time of waiting requests, of this box and of other boxes, in ms.
+        Prefill time of waiting requests that this box sent and that other boxes sent,
+        in ms.
     read_ms : float
-        Prefill time of the tokens that are not cached, plus the base time, in ms.
+        Total prefill time of the uncached tokens, plus the base time, in ms. In
+        contrast, ``PrefillSpeed.read_ms`` is the time for one token.
     unread : float
-        Expected number of tokens that are not cached.
+        Expected number of uncached tokens of the prompt.
     unreported_ms : float
         The part of `others_wait_ms` that no box reported, in ms.
     unseen : bool
-        Whether the expected cache contents rest only on the engine being the cache
-        owner.
+        Whether the engine is the cache owner and this box knows of no shared part that
+        it has cached. `unread` then assumes that the parts are cached with the
+        probability learned for owners.
     """
 
     own_wait_ms: float = 0.0
@@ -136,7 +152,11 @@
 
 
 def make_estimator(fleet: Fleet, prompt: Prompt, now: Millis) -> Estimator:
-    """Return a function that estimates one request at any of many workers."""
+    """Return a function that estimates one request at any of many workers.
+
+    In the returned estimates, `read_ms` is the total prefill time; the local `read_ms`
+    is the time for one token.
+    """
     speed = prefill_speed(fleet, prompt.service, prompt.model)
     read_ms, base_ms = speed.read_ms, speed.base_ms
     keys = [
@@ -188,12 +208,16 @@
 
 
 def others_wait_ms(row: WorkerRow, now: Millis) -> float:
-    """Return the estimated prefill time of other boxes' waiting requests, in ms."""
+    """Return the prefill time of other boxes' waiting requests, reported or not, in
+    ms.
+    """
     return _reported_wait_ms(row, now) + _unreported_wait_ms(row, now)
 
 
 def _reported_wait_ms(row: WorkerRow, now: Millis) -> float:
-    """Return the prefill time of waiting requests that other boxes reported, in ms."""
+    """Return the prefill time of waiting requests that other boxes reported, less the
+    time since their reports, in ms.
+    """
     total = 0.0
     for waits_ms, at in row.peer_prefill_ms.values():
         left_ms = waits_ms - (now - at)
@@ -203,7 +227,9 @@
 
 
 def _unreported_wait_ms(row: WorkerRow, now: Millis) -> float:
-    """Return the estimated prefill time that other boxes did not report, in ms."""
+    """Return the estimated prefill time of waiting requests that other boxes did not
+    report, in ms.
+    """
     age = max(0, now - row.unreported_prefill_at)
     remaining: float = 0.5 ** (age / UNREPORTED_HALF_LIFE_MS)
     return row.unreported_prefill_ms * remaining
@@ -241,7 +267,9 @@
 
 
 def unseen_cache_rate(fleet: Fleet, prompt: Prompt) -> float:
-    """Return the probability that an owner has a prompt cached unknown to this box."""
+    """Return the probability that a cache owner has shared parts cached of which this
+    box does not know.
+    """
     return fleet.unseen_cache_rates.get(
         (prompt.service.name, prompt.model), DEFAULT_UNSEEN_CACHE_RATE
     )
@@ -255,7 +283,11 @@
     first_ms: float,
     now: Millis,
 ) -> None:
-    """Update speed, cache rate and unreported waiting time from a first event."""
+    """Update the estimates from the measured time to a first event.
+
+    The speed is updated, or for an `unseen` estimate the unseen cache rate, as well as
+    the unreported waiting time.
+    """
     if expected.unseen:
         _update_unseen_rate(fleet, prompt, expected, first_ms)
     else:
@@ -269,7 +301,12 @@
 def _update_speed(
     fleet: Fleet, prompt: Prompt, expected: FirstEventEstimate, first_ms: float
 ) -> None:
-    """Move both components of a speed towards a quantile, in proportion to size."""
+    """Move the learned speed towards `SPEED_QUANTILE` of the times to the first event.
+
+    The expected time without waiting has two components, the base time and the prefill
+    time of the uncached tokens. Each is changed in proportion to its fraction of that
+    time. Answers after a long expected wait are left out; see `MAX_WAIT_FRACTION`.
+    """
     key = (prompt.service.name, prompt.model)
     speed = fleet.prefill_speeds.get(key)
     if speed is None:
@@ -291,10 +328,14 @@
 def _update_unseen_rate(
     fleet: Fleet, prompt: Prompt, expected: FirstEventEstimate, first_ms: float
 ) -> None:
-    """Record whether an owner had a prompt cached that this box did not know of."""
+    """Record whether a cache owner had shared parts cached unknown to this box.
+
+    They count as cached if the first event came sooner than expected for an engine with
+    half of the shared tokens cached.
+    """
     speed = prefill_speed(fleet, prompt.service, prompt.model)
-    own_tokens = prompt.read - 0.5 * prompt.shared_tokens
-    threshold_ms = expected.wait_ms + speed.base_ms + own_tokens * speed.read_ms
+    uncached = prompt.read - 0.5 * prompt.shared_tokens
+    threshold_ms = expected.wait_ms + speed.base_ms + uncached * speed.read_ms
     before = unseen_cache_rate(fleet, prompt)
     hit = 1.0 if first_ms < threshold_ms else 0.0
     key = (prompt.service.name, prompt.model)
@@ -304,7 +345,9 @@
 def merge_prefill_speed(
     fleet: Fleet, service: ServiceId, model: ModelId, reported: PrefillSpeed
 ) -> None:
-    """Move the prefill speed a little towards the one that a peer learned."""
+    """Move the prefill speed towards the one that a peer learned, by
+    `PEER_SPEED_WEIGHT`.
+    """
     speed = fleet.prefill_speeds.get((service, model))
     if speed is None:
         fleet.prefill_speeds[(service, model)] = reported
@@ -317,12 +360,13 @@
     fleet: Fleet,
     row: WorkerRow,
     prompt: Prompt,
-    own: PromptPart,
+    unshared: PromptPart,
     now: Millis,
 ) -> None:
     """Record that an engine will process a prompt, which may evict cached parts.
 
-    This box assumes that its share of the engine's memory is available to it, as all
+    `unshared` is the rest of the prompt, which belongs to this request alone. This box
+    assumes that its share of the engine's memory is available to it, as all
     boxes send prompts there.
     """
     cached = cached_tokens(row.kept, prompt.model, prompt.shared_parts)
@@ -334,7 +378,7 @@
         fleet.recent_prefills.append(prefill)
     boxes = len(fleet.peers) + 1
     capacity = prompt.service.kv_capacity_tokens / boxes
-    record_prefill(row.kept, prompt.model, (*prompt.shared_parts, own), capacity)
+    record_prefill(row.kept, prompt.model, (*prompt.shared_parts, unshared), capacity)
 
 
 def reportable_prefills(fleet: Fleet, now: Millis) -> tuple[RecentPrefill, ...]:
@@ -343,7 +387,10 @@
 
 
 def apply_peer_prefill(fleet: Fleet, prefill: RecentPrefill) -> None:
-    """Record a prompt that another box sent to an engine."""
+    """Record the shared parts of a prompt that another box sent to an engine.
+
+    No parts are evicted for it, except those beyond `keeping.MAX_CACHED_PARTS`.
+    """
     row = fleet.workers.rows.get(prefill.worker)
     if row is not None:
         record_prefill(row.kept, prefill.model, prefill.shared_parts, 0.0)
--- a/src/spanshunt/systems/keeping.py
+++ b/src/spanshunt/systems/keeping.py
@@ -2,8 +2,12 @@
 
 An engine caches the prompt parts that it has processed until it needs the memory, and
 evicts the least recently used part first. A part is usable only if all parts before it
-are cached as well. The table contains what this box sent. Other boxes send prompts,
-too, so a box assumes that only its share of the memory is available to it.
+are cached as well.
+
+The `PromptCache` of an engine records the prompts that this box sent to it and the
+shared parts of prompts that other boxes reported to have sent. Boxes do not report all
+prompts, so a box assumes that only its share of the engine's memory is available to the
+parts that it records.
 """
 
 import typing as t
@@ -51,7 +55,8 @@
         The parts in prompt order, including the last one, which belongs to this request
         alone but takes memory as well.
     capacity : float
-        Tokens of the engine's memory available to this box; 0 if unknown.
+        Tokens of the engine's memory available to this box. If it is 0, only the number
+        of parts is limited.
     """
     for part in parts:
         key = part_key(model, part.name)
--- a/src/spanshunt/systems/learning.py
+++ b/src/spanshunt/systems/learning.py
@@ -1,4 +1,11 @@
-"""Learning from results: counting, pooling and estimating the quality of versions."""
+"""Learning from results: counting, pooling and estimating the quality of versions.
+
+The quality of a cell, that is of a version for one request class and organisation, is
+estimated from the organisation's own ratings and two nested priors. The class prior is
+the mean over the ratings of all other organisations. Its strength says how many of the
+organisation's own ratings it counts as. That mean itself starts from a base prior,
+which counts as a fixed number of ratings.
+"""
 
 import math
 import typing as t
@@ -22,16 +29,17 @@
 
 MIN_PRIOR_STRENGTH = 20.0
 MAX_PRIOR_STRENGTH = 2_000.0
-"""Bounds of the prior strength, which is the number of an organisation's own ratings
-that the mean of its class counts as. The value between them is learned from the
-variance between organisations."""
+"""Bounds of the strength of the class prior, in ratings. The value between them is
+learned from the variance between organisations. The class prior never counts as more
+ratings than the other organisations gave."""
 
 MIN_ORG_RATINGS = 10
 """Minimum number of ratings for an organisation to count in the variance between
 organisations."""
 
-PRIOR_MEAN = 0.5
-PRIOR_RATINGS = 2.0
+BASE_PRIOR_MEAN = 0.5
+BASE_PRIOR_RATINGS = 2.0
+"""Mean of the base prior, and the number of ratings that it counts as."""
 
 Z_LOWER = 1.645
 """Width of the interval below the mean, in standard deviations: one-sided 95 %."""
@@ -41,8 +49,11 @@
 because it is tested after every rating."""
 
 MIN_TRIAL_RATINGS = 12.0
-"""Minimum number of ratings, including two of the prior, before a version is given
-up."""
+"""Number of ratings, as counted by :attr:`QualityEstimate.ratings`, below which a
+version may always meet a target. With fewer, its upper bound is not tested, so that a
+few bad ratings do not end a trial, nor keep requests from a new model that enters. The
+number includes both priors, and so ratings of other organisations; the organisation
+itself may have none."""
 
 
 class QualityEstimate(msgspec.Struct, frozen=True):
@@ -54,7 +65,8 @@
         Mean and bounds, in 0 to 1. The bounds are one-sided: 95 % below and 99.5 %
         above.
     ratings : float
-        Number of ratings that the estimate counts as.
+        Number of ratings that the estimate counts as: the organisation's own, plus the
+        weights of the class prior and of the base prior.
     """
 
     mean: float
@@ -65,6 +77,8 @@
     def may_meet(self, target: float) -> bool:
         """Return whether the share may reach `target`, according to the evidence so
         far.
+
+        With fewer than `MIN_TRIAL_RATINGS` it always may.
         """
         return self.ratings < MIN_TRIAL_RATINGS or self.high >= target
 
@@ -106,22 +120,23 @@
 
 
 def changes_since(
-    evidence: Evidence, ticket: int, limit: int
+    evidence: Evidence, first_change: int, limit: int
 ) -> tuple[tuple[EpochCounts, ...], int]:
-    """Return up to `limit` rows changed since `ticket`, and the next ticket.
+    """Return up to `limit` changed rows, and the number of the first change left out.
 
-    The oldest changes come first, so that a peer gets the rest with its next call.
+    Changes with a number below `first_change` are not returned. The oldest changes come
+    first, so that a peer gets the rest if the returned number is passed next time.
     """
     rows: list[EpochCounts] = []
-    next_ticket = evidence.next_change
+    next_change = evidence.next_change
     recent = []
     for key, changed in reversed(evidence.changed.items()):
-        if changed < ticket:
+        if changed < first_change:
             break
         recent.append((key, changed))
     for key, changed in reversed(recent):
         if len(rows) == limit:
-            next_ticket = changed
+            next_change = changed
             break
         cell = key.cell
         counts = msgspec.structs.replace(evidence.rows[key])
@@ -135,7 +150,7 @@
                 counts,
             )
         )
-    return tuple(rows), next_ticket
+    return tuple(rows), next_change
 
 
 def expire_epochs(evidence: Evidence, wall: Millis) -> None:
@@ -162,7 +177,7 @@
 def estimate_quality(
     pool: Pool, cell: Cell, strength: float | None = None
 ) -> QualityEstimate:
-    """Estimate the quality of a cell, with the mean of its class as the prior.
+    """Estimate the quality of a cell from its own ratings and the two priors.
 
     Parameters
     ----------
@@ -171,7 +186,7 @@
     cell : Cell
         The cell to estimate.
     strength : float, optional
-        Prior strength of the class's mean, in ratings, if it is already known.
+        Strength of the class prior, in ratings, if it is already known.
     """
     if strength is None:
         strength = prior_strength(pool, cell.version, cell.request_class)
@@ -179,10 +194,10 @@
     own = pool.cells.get(cell, Counts())
     others_rated = class_counts.rated - own.rated
     others_good = class_counts.good - own.good
-    prior_mean = (others_good + PRIOR_RATINGS * PRIOR_MEAN) / (
-        others_rated + PRIOR_RATINGS
+    prior_mean = (others_good + BASE_PRIOR_RATINGS * BASE_PRIOR_MEAN) / (
+        others_rated + BASE_PRIOR_RATINGS
     )
-    prior = PRIOR_RATINGS + min(strength, others_rated)
+    prior = BASE_PRIOR_RATINGS + min(strength, others_rated)
     total = prior + own.rated
     mean = (prior * prior_mean + own.good) / total
     deviation = math.sqrt(mean * (1 - mean) / (total + 1))
@@ -192,12 +207,13 @@
 
 
 def prior_strength(pool: Pool, version: VersionId, name: ClassId) -> float:
-    """Return how many of an organisation's own ratings the mean of its class counts as.
+    """Return the strength of the class prior, in ratings of the organisation itself.
 
     The variance between organisations is estimated from that of their means, less the
     part that chance explains (method of moments of DerSimonian and Laird, 1986). If the
     organisations do not differ, the mean of the class predicts each as well as its own
-    ratings do.
+    ratings do, and the strength is `MAX_PRIOR_STRENGTH`. If they cannot be compared, it
+    is `MIN_PRIOR_STRENGTH`.
     """
     pair = (version, name)
     class_counts = pool.classes.get(pair, Counts())
--- a/src/spanshunt/systems/placing.py
+++ b/src/spanshunt/systems/placing.py
@@ -1,9 +1,22 @@
 """Choice of a worker for one attempt by load, prompt cache, failure domain and health.
 
-Each candidate gets an estimated cost: for a prompt, ms of the time to its first event;
-for a plain request, fractions of a batch. The worker with the lowest cost is chosen.
+``spanshunt.platform.node`` uses this module; the choice of ``spanshuntd``, which knows
+neither prompts nor failure domains, is in `worker_choice`.
+
+Each candidate gets an estimated cost, and the worker with the lowest cost is chosen.
+For a prompt, which an engine processes, the cost is the time to its first event in ms,
+and constants named ``LATENCY_FRACTION`` are fractions of the route's target latency. A
+plain request has no prompt; its cost is measured in batches, and constants named
+``BATCH_FRACTION`` are fractions of a batch. A batch is the number of requests that a
+worker answers at once (``WorkerRow.slots``), whether or not it runs an engine.
+
 Boxes see the same old reports. The estimate therefore counts this box's own requests
 exactly and has a random part that spreads requests over similar workers.
+
+A rate-limited worker accepts a rate of requests from all boxes together. Each box may
+send it one request in each period; such a permission is called a grant and is described
+in `throttling`. A grant opens at a different time at each box and expires if it is not
+used.
 """
 
 import math
@@ -35,9 +48,9 @@
 from .throttling import is_limited
 from .warming import may_send_to
 
-CROSS_DOMAIN_BATCH_COST = 0.35
-"""Cost of another failure domain for a plain request, in batches. Traffic between
-domains is charged, so an answer from there must be correspondingly sooner."""
+CROSS_DOMAIN_BATCH_FRACTION = 0.35
+"""Cost of another failure domain for a plain request, as a fraction of a batch. Traffic
+between domains is charged, so a worker there must be less loaded by that much."""
 
 CROSS_DOMAIN_LATENCY_FRACTION = 0.2
 """Cost of another failure domain for a prompt, as a fraction of the route's target
@@ -50,22 +63,25 @@
 
 ERROR_LATENCY_FRACTION = 2.0
 """Cost for a prompt of a worker that fails all answers, as a multiple of the target
-latency."""
+latency; proportional to its error rate."""
 
 NOISE_LATENCY_FRACTION = 0.005
 """Size of the random part for a prompt, as a fraction of the target latency. It makes
 boxes with the same view choose different ones of nearly equal engines."""
 
-ERROR_BATCH_COST = 2.0
-"""Cost of a worker that fails all answers, in batches."""
+ERROR_BATCH_FRACTION = 2.0
+"""Cost for a plain request of a worker that fails all answers, in batches; proportional
+to its error rate."""
 
 GRANT_LATENCY_FRACTION, GRANT_BATCH_FRACTION = 0.5, 1.0
-"""Bonus of a rate-limited worker with an open grant: for a prompt as a fraction of the
-target latency, for a plain request in batches. It outweighs domain and load, because a
-grant that is not used soon is lost, and each of many boxes seldom has one."""
+"""Bonus of a rate-limited worker: for a prompt as a fraction of the target latency, for
+a plain request in batches. Such a worker is a candidate only while its grant is open
+for the request. The bonus outweighs domain and load, because a grant that is not used
+soon is lost, and each of many boxes seldom has one."""
 
 NOISE_BATCH_FRACTION = 0.04
-"""Size of the random part, in batches: about one request of a batch of 32."""
+"""Size of the random part for a plain request, as a fraction of a batch: about one
+request of a batch of 32."""
 
 REPORT_HALF_LIFE_MS = 400
 """Half-life of the weight of other boxes' requests in a worker's report, in ms. It is
@@ -95,6 +111,8 @@
         Workers that boxes found silent.
     eager : bool
         Whether the request may use a rate-limited worker's grant as soon as it opens.
+        Other requests may use it only once it has been open for some time, so that
+        urgent requests come first where grants are scarce.
     regions : tuple of frozenset of str
         Sets of allowed regions; the worker must be in each of them. An empty set allows
         any region.
@@ -166,14 +184,17 @@
 ) -> WorkerRow:
     """Return the worker for a request that is suspected of crashing workers.
 
-    Workers with another suspect request are avoided, so that the next crash
-    incriminates only one of them. Of two workers drawn at random the less loaded is
-    taken. Where workers crash by themselves, 24 harmless contents were quarantined in
-    six simulations, compared with 36 without this rule (``bench/ends.py``). Where a
-    content did crash workers, no harmless one was quarantined.
+    A crash counts against all suspect requests that the worker was answering. Workers
+    that are answering another one are therefore avoided, so that the next crash counts
+    against one request only. Of two workers drawn at random the less loaded is taken.
+    Where workers crash by themselves, 24 harmless request contents were quarantined in
+    six simulations, compared with 36 without this rule (``bench/ends.py``). Where one
+    content did crash workers, no harmless content was quarantined.
     """
-    unsuspected = [row for row in rows if row.name not in workers_with_suspects] or rows
-    drawn = rng.sample(unsuspected, min(2, len(unsuspected)))
+    without_suspects = [
+        row for row in rows if row.name not in workers_with_suspects
+    ] or rows
+    drawn = rng.sample(without_suspects, min(2, len(without_suspects)))
     return min(drawn, key=lambda row: batch_load(row, now))
 
 
@@ -183,8 +204,8 @@
     """Return the cost of a plain request at a worker, in batches."""
     return (
         batch_load(row, now)
-        + (CROSS_DOMAIN_BATCH_COST if row.domain != request.domain else 0.0)
-        + ERROR_BATCH_COST * row.error_rate
+        + (CROSS_DOMAIN_BATCH_FRACTION if row.domain != request.domain else 0.0)
+        + ERROR_BATCH_FRACTION * row.error_rate
         - (GRANT_BATCH_FRACTION if is_limited(row) else 0.0)
         + NOISE_BATCH_FRACTION * rng.random()
     )
@@ -200,12 +221,14 @@
 ) -> tuple[WorkerRow, FirstEventEstimate]:
     """Return the engine with the lowest cost for a prompt, and the estimate for it.
 
-    At the cache owner, prefill of the shared parts costs nothing, since the requests of
-    all boxes share it.
+    The cost of the cache owner (see `cache_owner`) leaves out the prefill of the shared
+    parts, so that requests of all boxes with these parts go to it and share that
+    prefill. The first of them still takes the time, which the returned estimate
+    includes.
     """
     owner = cache_owner(fleet, rows, request)
     speed = prefill_speed(fleet, prompt.service, prompt.model)
-    own_prefill_ms = (
+    unshared_prefill_ms = (
         speed.base_ms + (prompt.read - prompt.shared_tokens) * speed.read_ms
     )
     estimate_at = make_estimator(fleet, prompt, now)
@@ -225,7 +248,7 @@
             fraction -= GRANT_LATENCY_FRACTION
         cost = (
             estimate.wait_ms
-            + (own_prefill_ms if owns else estimate.read_ms)
+            + (unshared_prefill_ms if owns else estimate.read_ms)
             + fraction * target_latency_ms
         )
         cost += noise * rng.random()
@@ -267,7 +290,9 @@
 def throttled_workers(
     fleet: Fleet, request: PlacementRequest, now: Millis
 ) -> list[WorkerRow]:
-    """Return workers excluded only because of their rate limit or rest period."""
+    """Return workers that are throttled: excluded only by a rate limit or rest
+    period.
+    """
     takes_work = _availability_filter(fleet, request, now)
     return [
         row
@@ -281,7 +306,9 @@
 def throttle_wait_ms(
     fleet: Fleet, row: WorkerRow, request: PlacementRequest, now: Millis
 ) -> Millis:
-    """Return how long a worker's own notices exclude such a request, in ms."""
+    """Return how long a worker's rate limit or rest period still excludes such a
+    request, in ms; 0 if neither does.
+    """
     rest_ms = rest_left_ms(row, now)
     if not is_limited(row):
         return rest_ms
@@ -291,7 +318,12 @@
 def _availability_filter(
     fleet: Fleet, request: PlacementRequest, now: Millis
 ) -> t.Callable[[WorkerRow], bool]:
-    """Return a predicate for workers available apart from their own notices."""
+    """Return a predicate for workers that are available to the request.
+
+    The predicate tests whether the worker is leaving, its failure domain, its region
+    and whether it is cold. It does not test rate limits and rest periods, which
+    `throttle_wait_ms` covers, or versions and health.
+    """
     leaving = fleet.workers.leaving
     emptied = evacuated_domains(fleet)
     bounds = [allowed for allowed in request.regions if allowed]
@@ -319,8 +351,11 @@
 
 
 def batch_load(row: WorkerRow, now: Millis) -> float:
-    """Return a worker's load as a fraction of its batch; queued requests count
-    twice.
+    """Return a worker's load as a fraction of its batch.
+
+    Requests of other boxes lose weight as the worker's report gets older. Requests
+    queued at the worker count twice: ``reported`` contains them, and ``queued`` is
+    added to it. In ``spanshuntd``, `worker_choice.estimated_load` has another formula.
     """
     others = max(0, row.reported - row.own_inflight_at_report) + row.queued
     if not others or not row.reported_at:
@@ -332,8 +367,11 @@
 def cache_owner(
     fleet: Fleet, rows: list[WorkerRow], request: PlacementRequest
 ) -> WorkerId:
-    """Return the engine that all boxes agree on for a prompt's shared parts; "" for
-    none.
+    """Return the engine that owns a prompt's shared parts; "" if it has none.
+
+    The owner is the engine that boxes prefer for prompts with the same shared parts, so
+    that it probably has them cached. Boxes agree on it without messages, by a
+    rendezvous hash of the model and the last shared part over the candidates.
 
     If prefill of the shared parts costs more than another failure domain does, there is
     one owner in all, otherwise one in each domain.
--- a/src/spanshunt/systems/preferring.py
+++ b/src/spanshunt/systems/preferring.py
@@ -2,6 +2,15 @@
 
 A preference applies to all requests of one organisation and class for one second.
 Permissions and version states are checked for each request.
+
+A preference has a main version, and possibly one of two cheaper versions beside it. A
+version on trial answers a small share of the requests, to gather evidence about its
+quality. The first version of a cascade is asked before the main one. If the usage that
+its engine reports contains too low a confidence or none, the answer is dropped and the
+main version is asked, which is then called the fallback.
+
+This cascade between versions is part of ``spanshuntd``. The cascade between models in
+`cascading` is unrelated to it, and no request passes through both.
 """
 
 import typing as t
@@ -29,16 +38,19 @@
 """Maximum share of a class's requests used for the trial of a cheaper version."""
 
 MIN_TRIAL_SHARE = 0.02
-"""Trial share while the mean of the version in use does not exceed the target."""
+"""Minimum trial share. It is used while the mean quality of the main version does not
+exceed the target."""
 
 MAX_CASCADE_COST_RATIO = 0.9
-"""Maximum cost of a cascade relative to asking the dearer version directly."""
+"""Maximum expected cost of a cascade relative to asking the main version directly."""
 
 CONFIDENT_SUFFIX = "!sure"
-"""Suffix of the class that counts answers in which the engine was confident."""
+"""Suffix of the class that counts answers with a high confidence reported by the
+engine. An answer with a reported confidence counts both under its request class and
+under the class with one of the two suffixes."""
 
 UNSURE_SUFFIX = "!unsure"
-"""Suffix of the class that counts all other answers."""
+"""Suffix of the class that counts answers with a lower reported confidence."""
 
 _DEFAULT_COUNTS = Counts(runs=1, prompt_tokens=500, output_tokens=200)
 
@@ -59,13 +71,14 @@
     main : VersionAssessment
         The version that serves most requests.
     meets_target : bool
-        Whether the lower bound of its quality meets the target.
+        Whether the lower bound of the main version's quality meets the target.
     trial : VersionAssessment or None
-        A cheaper version on trial.
+        A cheaper version on trial; None for none.
     trial_share : float
         Share of requests sent to the version on trial.
     first : VersionAssessment or None
-        The version asked first in a cascade.
+        The version asked first in a cascade, before `main`; None without a cascade. A
+        cascade takes precedence over the trial.
     """
 
     main: VersionAssessment
@@ -76,7 +89,22 @@
 
 
 class PreferenceKey(t.NamedTuple):
-    """All that a preference depends on, except the evidence."""
+    """All that a preference depends on, except the evidence.
+
+    Attributes
+    ----------
+    service, request_class, org : str
+        Service, class and organisation of the requests.
+    named : str
+        Model or version that the caller named; empty for any.
+    offset : Offset
+        Offset of the next record to apply to the configuration (`Config.next_offset`).
+        It changes with every change of the configuration and so stands for its
+        contents.
+    settled : tuple of str
+        Active versions to choose from, the newest of each model. Entering versions are
+        not among them.
+    """
 
     service: ServiceId
     request_class: ClassId
@@ -106,9 +134,10 @@
 ) -> Preference:
     """Return how to serve the requests of one organisation and class.
 
-    The cheapest version whose lower bound meets the target is used. A cheaper version
-    whose upper bound meets the target goes on trial. Its share is limited by how much
-    the quality of the version in use exceeds the target.
+    The main version is the cheapest whose lower bound meets the target; if there is
+    none, it is the one with the highest mean. The cheapest version that costs less than
+    the main version and may meet the target goes on trial. Its share is limited by how
+    much the mean quality of the main version exceeds the target.
     """
     versions = sorted(
         (assess_version(pool, row, request) for row in active),
@@ -165,7 +194,8 @@
 ) -> float:
     """Return the share of requests for a version on trial.
 
-    It is half the share at which the mean quality of the mix equals the target.
+    It is half the share at which the mean quality of the mix equals the target, within
+    `MIN_TRIAL_SHARE` and `MAX_TRIAL_SHARE`.
     """
     slack = main.estimate.mean - target
     if slack <= 0:
--- a/src/spanshunt/systems/worker_choice.py
+++ b/src/spanshunt/systems/worker_choice.py
@@ -1,4 +1,8 @@
-"""Choice of a worker from delayed load reports and this box's own exact counts."""
+"""Choice of a worker from delayed load reports and this box's own exact counts.
+
+``spanshuntd`` uses this module; the choice of ``spanshunt.platform.node``, which also
+considers prompts and failure domains, is in `placing`.
+"""
 
 import random
 import typing as t
@@ -28,7 +32,7 @@
 """Maximum duration of an ejection, in ms."""
 
 _SMOOTHING = 0.2
-_REMOTE_WEIGHT = 0.5
+_OTHERS_WEIGHT = 0.5
 
 Picker = t.Callable[[list[WorkerRow]], WorkerRow]
 """Selects one worker from a non-empty list of usable workers."""
@@ -75,10 +79,11 @@
     The report counts the requests of all boxes but is old; this box's own requests are
     counted exactly. The requests of other boxes count half, because some of them have
     ended by now, and because many boxes would otherwise pick the same worker from the
-    same old report.
+    same old report. Their weight does not depend on the age of the report, unlike in
+    `placing.batch_load`.
     """
     others = max(0, row.reported - row.own_inflight_at_report)
-    return (row.inflight + _REMOTE_WEIGHT * others) / max(1, row.slots)
+    return (row.inflight + _OTHERS_WEIGHT * others) / max(1, row.slots)
 
 
 def least_loaded_picker(rng: random.Random) -> Picker:
--- a/tests/test_estimating.py
+++ b/tests/test_estimating.py
@@ -1,4 +1,8 @@
-"""Estimate of the first event: bounds, learning and reports of other boxes."""
+"""Estimate of the first event: bounds, learning and reports of other boxes.
+
+`ms` takes seconds and returns milliseconds, so ``ms(2)`` is 2,000 ms. `record_answer`
+takes its time `now` in seconds, too; other plain numbers of a time are milliseconds.
+"""
 
 import random
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,7 @@
-"""Choice of a worker by load, failure domain, prompt cache, health and leaving."""
+"""Choice of a worker by load, failure domain, prompt cache, health and leaving.
+
+`ms` takes seconds and returns milliseconds, so ``ms(2)`` is 2,000 ms.
+"""
 
 import collections
 
