--- a/src/spanshunt/catalog_calls.py
+++ b/src/spanshunt/catalog_calls.py
@@ -51,9 +51,9 @@
 from .systems.repeats import count_repeat
 from .systems.repeats import count_request
 from .systems.throttling import use_grant
-from .systems.timing import ALIVE_FACTOR
+from .systems.timing import RECENTLY_SENT_FACTOR
 from .systems.timing import first_byte_timeout_ms
-from .systems.timing import is_alive
+from .systems.timing import has_sent_recently
 from .systems.warming import is_cold
 from .systems.warming import record_cold_send
 from .systems.worker_health import record_load
@@ -246,8 +246,8 @@
     route, read = state.admitted.route, state.call.tokens.read
     limit = first_byte_timeout_ms(core.fleet, route, attempt.model, read)
     await asyncio.wait({sending}, timeout=limit / 1_000)
-    if not sending.done() and is_alive(attempt.worker, core.clock.now()):
-        longer = limit * ALIVE_FACTOR
+    if not sending.done() and has_sent_recently(attempt.worker, core.clock.now()):
+        longer = limit * RECENTLY_SENT_FACTOR
         await asyncio.wait({sending}, timeout=(longer - limit) / 1_000)
     if not state.repeatable or state.runs >= state.max_attempts:
         if not sending.done() and not state.repeatable:
--- a/src/spanshunt/fleet_report.py
+++ b/src/spanshunt/fleet_report.py
@@ -19,9 +19,9 @@
 from .systems.following_workers import find_list_reader
 from .systems.placing import batch_load
 from .systems.proving import proof_age
-from .systems.quarantining import quarantined_requests
+from .systems.quarantining import quarantined_contents
 from .systems.repeats import RepeatBounds
-from .systems.repeats import repeat_allowance
+from .systems.repeats import retry_budget
 from .systems.resting import rest_left_ms
 from .systems.silence import is_silent
 from .systems.tallies import pooled_tallies
@@ -225,7 +225,7 @@
             for name, row in sorted(fleet.models.items())
         ),
         peers=tuple(_peer(row, now) for row in _peers_in_order(fleet)),
-        kept_back=tuple(_kept_back(row, now) for row in quarantined_requests(fleet)),
+        kept_back=tuple(_kept_back(row, now) for row in quarantined_contents(fleet)),
     )
 
 
@@ -316,7 +316,7 @@
 def _budget(
     fleet: Fleet, bounds: RepeatBounds, service: ServiceId, now: Millis
 ) -> BudgetView:
-    window = repeat_allowance(fleet, service, now, bounds)
+    window = retry_budget(fleet, service, now, bounds)
     return BudgetView(
         service=service,
         requests=window.requests,
--- a/src/spanshunt/platform/kept_back.py
+++ b/src/spanshunt/platform/kept_back.py
@@ -15,7 +15,7 @@
 from ..systems.quarantining import QUARANTINE_EXPIRY_MS
 from ..systems.quarantining import QUARANTINE_MS
 from ..systems.quarantining import merge_suspect
-from ..systems.quarantining import quarantines_to_record
+from ..systems.quarantining import quarantines_to_store
 from ..systems.quarantining import records_to_remove
 from ..systems.quarantining import update_quarantine
 from ..tables.suspects import SuspectRequest
@@ -69,7 +69,7 @@
             return
         if not self._fleet.quarantine_known and self._reads(now):
             await self._read_all()
-        for row in quarantines_to_record(self._fleet, now):
+        for row in quarantines_to_store(self._fleet, now):
             await self._record(row)
         for row in records_to_remove(self._fleet, now):
             if await self._drop(row.fingerprint):
--- a/src/spanshunt/relaying.py
+++ b/src/spanshunt/relaying.py
@@ -19,9 +19,9 @@
 from .systems.cascading import record_confidence
 from .systems.cascading import required_probability
 from .systems.cascading import update_repeat_price
-from .systems.timing import ALIVE_FACTOR
-from .systems.timing import gap_timeout_ms
-from .systems.timing import is_alive
+from .systems.timing import RECENTLY_SENT_FACTOR
+from .systems.timing import has_sent_recently
+from .systems.timing import stall_timeout_ms
 
 
 def wants_better(
@@ -47,7 +47,7 @@
         return False
     prospect = larger_prospect(core, state, service)
     required = required_probability(core.fleet, route, service, call.tokens, prospect)
-    affordable = budget_allows(core, state, for_quality=True)
+    affordable = budget_allows(core, state, for_escalation=True)
     wanted = prospect.possible and probability_good(found.confidence) < required
     if wanted:
         update_repeat_price(core.fleet, service.name, allowed=affordable)
@@ -120,7 +120,7 @@
     route, worker = state.admitted.route, attempt.worker
     if not route.resumable or state.runs >= route.max_attempts:
         return await found.next_block()
-    limit_ms = gap_timeout_ms(route)
+    limit_ms = stall_timeout_ms(route)
     silent_ms = 0.0
     while True:
         try:
@@ -131,7 +131,10 @@
             if now >= state.limit:
                 raise
             silent_ms += limit_ms
-            if is_alive(worker, now) and silent_ms < ALIVE_FACTOR * limit_ms:
+            if (
+                has_sent_recently(worker, now)
+                and silent_ms < RECENTLY_SENT_FACTOR * limit_ms
+            ):
                 continue
             if not may_go_on(core, state):
                 continue
--- a/src/spanshunt/repeating.py
+++ b/src/spanshunt/repeating.py
@@ -36,7 +36,7 @@
 
 
 def budget_allows(
-    core: Core, state: CatalogRequest, *, for_quality: bool = False
+    core: Core, state: CatalogRequest, *, for_escalation: bool = False
 ) -> bool:
     """Tell whether the budget of repeats allows one more arrival at the service."""
     return may_repeat(
@@ -44,5 +44,5 @@
         state.service,
         core.clock.now(),
         core.bounds,
-        for_quality=for_quality,
+        for_escalation=for_escalation,
     )
--- a/src/spanshunt/systems/limiting.py
+++ b/src/spanshunt/systems/limiting.py
@@ -109,27 +109,29 @@
         own.others_running = sum(row.running for row in rows)
         own.others_spent = Micros(sum(row.spent for row in rows if row.day == own.day))
         others_demand = sum(max(row.demand, MIN_DEMAND) for row in rows)
-        silent_boxes = max(0, boxes - 1 - len(rows))
-        others_demand += silent_boxes * MIN_DEMAND
+        boxes_without_row = max(0, boxes - 1 - len(rows))
+        others_demand += boxes_without_row * MIN_DEMAND
         own_demand = max(own.demand, MIN_DEMAND)
         own.allowance = org_limits.rate * own_demand / (own_demand + others_demand)
 
 
-def own_usage_rows(usage: Usage, origin: str) -> tuple[UsageRow, ...]:
+def own_usage_rows(usage: Usage, incarnation: str) -> tuple[UsageRow, ...]:
     """Return this box's usage rows for peers, of organisations that use anything."""
     return tuple(
-        UsageRow(origin, org, round(own.demand, 3), own.running, own.day, own.spent)
+        UsageRow(
+            incarnation, org, round(own.demand, 3), own.running, own.day, own.spent
+        )
         for org, own in usage.own.items()
         if own.demand > 0.01 or own.running or own.spent
     )
 
 
 def merge_peer_usage(
-    usage: Usage, rows: tuple[UsageRow, ...], own_origin: str, now: Millis
+    usage: Usage, rows: tuple[UsageRow, ...], own_incarnation: str, now: Millis
 ) -> None:
     """Merge the usage rows that a peer sent for itself."""
     for row in rows:
-        if row.origin != own_origin:
+        if row.origin != own_incarnation:
             usage.heard[(row.origin, row.org)] = PeerUsage(row, now)
 
 
--- a/src/spanshunt/systems/pacing.py
+++ b/src/spanshunt/systems/pacing.py
@@ -70,7 +70,7 @@
     speed.gap_ms += PEER_SPEED_WEIGHT * (gap_ms - speed.gap_ms)
 
 
-STALL_ALLOWANCE_MS = 600
+STALL_DEDUCTION_MS = 600
 """Time deducted from an answer that is still being generated, in ms, so that the
 prefill of another prompt in between does not make it slow. Without it, a third to a
 half of the answers of the leaving version counted as slow; a tenth were slow at their
@@ -109,5 +109,5 @@
     speed = fleet.decode_speeds.get((service, model))
     if speed is None or not has_enough_gaps(gaps) or elapsed_ms < MIN_DECODE_MS:
         return False
-    decode_ms = elapsed_ms if whole else elapsed_ms - STALL_ALLOWANCE_MS
+    decode_ms = elapsed_ms if whole else elapsed_ms - STALL_DEDUCTION_MS
     return decode_ms > SLOW_DECODE_FACTOR * speed.gap_ms * gaps
--- a/src/spanshunt/systems/quarantining.py
+++ b/src/spanshunt/systems/quarantining.py
@@ -49,7 +49,7 @@
 """Maximum number of suspects in one message, and of quarantined contents sent to a box
 whose digest differs. Each takes some 100 bytes."""
 
-RECORD_DELAY_MS = 150
+STORE_DELAY_MS = 150
 """Delay before a quarantine is recorded in the store, in ms. Boxes that quarantine a
 content at the same time learn of each other meanwhile, and one of them records it."""
 
@@ -137,7 +137,7 @@
     )
 
 
-def quarantined_requests(fleet: Fleet) -> list[SuspectRequest]:
+def quarantined_contents(fleet: Fleet) -> list[SuspectRequest]:
     """Return the quarantined contents."""
     return [row for row in fleet.suspect_requests.values() if is_quarantined(row)]
 
@@ -250,7 +250,7 @@
         selected_names = {row.fingerprint for row in selected}
         others = [
             row
-            for row in quarantined_requests(fleet)
+            for row in quarantined_contents(fleet)
             if row.fingerprint not in selected_names
         ]
         selected += others[:MAX_QUARANTINED_SENT]
@@ -259,11 +259,11 @@
 
 def quarantine_digest(fleet: Fleet) -> int:
     """Return a checksum that is equal at boxes with the same quarantined contents."""
-    fingerprints = sorted(row.fingerprint for row in quarantined_requests(fleet))
+    fingerprints = sorted(row.fingerprint for row in quarantined_contents(fleet))
     return zlib.crc32("\n".join(fingerprints).encode()) if fingerprints else 0
 
 
-def quarantines_to_record(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
+def quarantines_to_store(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
     """Return the quarantined contents that this box must record in the store now.
 
     The box that quarantined a content records it. If that box is not heard, the first
@@ -272,11 +272,11 @@
     heard = live_peers(fleet, now)
     return [
         row
-        for row in quarantined_requests(fleet)
+        for row in quarantined_contents(fleet)
         if row.quarantined_at >= 0
         and (not row.recorded or row.dropped_at >= 0)
-        and now >= row.quarantined_at + RECORD_DELAY_MS
-        and _is_recording_box(fleet, row, heard)
+        and now >= row.quarantined_at + STORE_DELAY_MS
+        and _is_storing_box(fleet, row, heard)
     ]
 
 
@@ -292,11 +292,11 @@
         if row.recorded
         and row.dropped_at < 0 <= row.cleared_at
         and len(row.counted_ends()) < QUARANTINE_ENDS
-        and _is_recording_box(fleet, row, heard)
+        and _is_storing_box(fleet, row, heard)
     ]
 
 
-def _is_recording_box(fleet: Fleet, row: SuspectRequest, heard: list[BoxId]) -> bool:
+def _is_storing_box(fleet: Fleet, row: SuspectRequest, heard: list[BoxId]) -> bool:
     if row.quarantined_by in heard:
         return False
     return fleet.identity.box in (row.quarantined_by, min([fleet.identity.box, *heard]))
@@ -304,7 +304,7 @@
 
 def expire_suspects(fleet: Fleet, now: Millis) -> None:
     """Remove the suspects that did not change for long."""
-    quarantined = {row.fingerprint for row in quarantined_requests(fleet)}
+    quarantined = {row.fingerprint for row in quarantined_contents(fleet)}
     for fingerprint, row in list(fleet.suspect_requests.items()):
         if now - row.changed_at > (
             QUARANTINE_EXPIRY_MS if fingerprint in quarantined else SUSPECT_EXPIRY_MS
--- a/src/spanshunt/systems/repeats.py
+++ b/src/spanshunt/systems/repeats.py
@@ -22,7 +22,7 @@
 """Part of the slack that is shared out, as a box that restarts begins with a new
 share."""
 
-QUALITY_SHARE = 0.8
+ESCALATION_SHARE = 0.8
 """Part of the budget that repeats for quality may use; the rest is kept for
 failures."""
 
@@ -48,7 +48,7 @@
     min_boxes: int = 6
 
 
-class RepeatAllowance(msgspec.Struct, frozen=True):
+class RetryBudget(msgspec.Struct, frozen=True):
     """Numbers of requests, repeats and allowed repeats of a service in the window."""
 
     requests: int
@@ -79,7 +79,7 @@
     now: Millis,
     bounds: RepeatBounds,
     *,
-    for_quality: bool,
+    for_escalation: bool,
 ) -> bool:
     """Return whether the budget allows one more repeat now.
 
@@ -88,21 +88,21 @@
     """
     if service not in fleet.traffic:
         return True
-    used = repeat_allowance(fleet, service, now, bounds)
-    share = QUALITY_SHARE if for_quality else 1.0
-    return used.repeats + 1 <= share * used.allowed
+    budget = retry_budget(fleet, service, now, bounds)
+    share = ESCALATION_SHARE if for_escalation else 1.0
+    return budget.repeats + 1 <= share * budget.allowed
 
 
-def repeat_allowance(
+def retry_budget(
     fleet: Fleet, service: ServiceId, now: Millis, bounds: RepeatBounds
-) -> RepeatAllowance:
+) -> RetryBudget:
     """Return this box's requests and repeats of `service`, and the allowed ones."""
     oldest = now // 1_000 - bounds.window_s
     traffic = fleet.traffic.get(service, Traffic())
     recent = [second for second in traffic.seconds if second.number >= oldest]
     requests = sum(second.requests for second in recent)
     boxes = max(bounds.min_boxes, len(fleet.peers) + 1)
-    return RepeatAllowance(
+    return RetryBudget(
         requests=requests,
         repeats=sum(second.repeats for second in recent),
         allowed=RATIO_SHARE * bounds.ratio * requests
--- a/src/spanshunt/systems/resting.py
+++ b/src/spanshunt/systems/resting.py
@@ -9,7 +9,7 @@
 from ..tables.workers import WorkerRow
 
 
-def extend_rest(row: WorkerRow, rest_ms: Millis, now: Millis) -> bool:
+def apply_rest(row: WorkerRow, rest_ms: Millis, now: Millis) -> bool:
     """Record a rest that a worker asks for; return whether this extends its rest.
 
     The longest rest holds: a shorter one that is asked for later does not shorten it.
--- a/src/spanshunt/systems/throttling.py
+++ b/src/spanshunt/systems/throttling.py
@@ -34,7 +34,7 @@
 """Requests a second that boxes send at least, even if the worker takes fewer or none.
 Otherwise no box would learn that it takes more again."""
 
-EAGER_ONLY_MS = 500
+GRANT_RESERVED_MS = 500
 """How long a grant is reserved for eager requests, in ms. A grant that is still unused
 after that shows that grants are not scarce."""
 
@@ -106,7 +106,7 @@
     grant_at = limiter.next_grant_at
     if not is_discovery_finished(fleet, now):
         grant_at = max(grant_at, fleet.discovery_until)
-    reserved_ms = 0 if eager else EAGER_ONLY_MS
+    reserved_ms = 0 if eager else GRANT_RESERVED_MS
     return Millis(math.ceil(max(0.0, grant_at + reserved_ms - now)))
 
 
--- a/src/spanshunt/systems/timing.py
+++ b/src/spanshunt/systems/timing.py
@@ -15,21 +15,21 @@
 """The first byte is awaited for at least this part of the route's target latency. The
 rest must be enough for an answer from elsewhere."""
 
-UNKNOWN_TARGET_SHARE = 1.2
+UNKNOWN_USUAL_FACTOR = 1.2
 """The first byte is awaited for this part of the target latency if no usual time is
 known. After a restart of all boxes, engines are busy with requests that callers
 repeat."""
 
-MIN_GAP_MS = 950
+MIN_STALL_MS = 950
 """A shorter gap in a stream is not treated as a stall, in ms. An engine that prefills
 long prompts between the tokens of others takes nearly as long for an event, and a
 stream that is resumed elsewhere is prefilled again there."""
 
-ALIVE_MS = 400
+RECENTLY_SENT_MS = 400
 """A worker that sent bytes on any request within this time is alive, in ms. Its pending
 answers are awaited for longer, as it is more likely busy than stuck."""
 
-ALIVE_FACTOR = 2.5
+RECENTLY_SENT_FACTOR = 2.5
 """Factor by which timeouts are longer for a worker that is alive. Asking elsewhere
 sooner adds to the load of engines that are merely busy."""
 
@@ -48,20 +48,21 @@
     """Return how long to wait for the first byte of a silent worker, in ms."""
     usual = usual_first_byte_ms(fleet, route, model, read)
     if usual <= 0.0:
-        return UNKNOWN_TARGET_SHARE * route.target_latency_ms
+        return UNKNOWN_USUAL_FACTOR * route.target_latency_ms
     return max(MIN_TARGET_SHARE * route.target_latency_ms, FIRST_BYTE_FACTOR * usual)
 
 
-def gap_timeout_ms(route: RouteRow) -> float:
+def stall_timeout_ms(route: RouteRow) -> float:
     """Return how long to wait for the next bytes of a silent worker's stream, in ms."""
     return max(
-        MIN_GAP_MS, MIN_TARGET_SHARE * (route.target_gap_ms or route.target_latency_ms)
+        MIN_STALL_MS,
+        MIN_TARGET_SHARE * (route.target_gap_ms or route.target_latency_ms),
     )
 
 
-def is_alive(worker: WorkerRow, now: Millis) -> bool:
+def has_sent_recently(worker: WorkerRow, now: Millis) -> bool:
     """Return whether a worker sent bytes on any request recently."""
-    return now - worker.last_byte_at < ALIVE_MS
+    return now - worker.last_byte_at < RECENTLY_SENT_MS
 
 
 def usual_first_byte_ms(
--- a/src/spanshunt/systems/warming.py
+++ b/src/spanshunt/systems/warming.py
@@ -20,7 +20,7 @@
 requests of one box that arrive within one second, and random variation in the number of
 boxes that the hash selects."""
 
-MIN_SEND_INTERVAL_MS = 1_000
+SEND_INTERVAL_MS = 1_000
 """Shortest interval between two requests of one box to the same cold worker, in ms, if
 there are many boxes. Each box then counts once in any second."""
 
@@ -42,7 +42,7 @@
         return False
     if unit_hash("cold", row.name, fleet.identity.box) >= rate / boxes:
         return False
-    interval_ms = MIN_SEND_INTERVAL_MS * min(1.0, boxes / rate)
+    interval_ms = SEND_INTERVAL_MS * min(1.0, boxes / rate)
     return row.cold_sent_at < 0 or now >= row.cold_sent_at + interval_ms
 
 
--- a/src/spanshunt/worker_notices.py
+++ b/src/spanshunt/worker_notices.py
@@ -15,7 +15,7 @@
 from .peers.news import News
 from .ports import Answer
 from .systems.following_workers import record_leaving_notice
-from .systems.resting import extend_rest
+from .systems.resting import apply_rest
 from .systems.resting import rest_left_ms
 from .systems.throttling import apply_limit
 from .systems.throttling import apply_peer_limit
@@ -79,7 +79,7 @@
     core: Core, state: CatalogRequest, worker: WorkerRow, rest_ms: Millis
 ) -> None:
     """Take in that a worker turned this box away and asks it for rest."""
-    if not extend_rest(worker, rest_ms, core.clock.now()):
+    if not apply_rest(worker, rest_ms, core.clock.now()):
         return
     core.count("worker_rests")
     log_event(
--- a/tests/test_leaving_words.py
+++ b/tests/test_leaving_words.py
@@ -27,7 +27,7 @@
 from spanshunt.systems.following_workers import apply_worker_list
 from spanshunt.systems.following_workers import list_digest
 from spanshunt.systems.following_workers import record_leaving_notice
-from spanshunt.systems.resting import extend_rest
+from spanshunt.systems.resting import apply_rest
 from spanshunt.systems.resting import rest_left_ms
 from spanshunt.systems.throttling import apply_limit
 from spanshunt.tables.fleet import Fleet
@@ -202,7 +202,7 @@
     row.born = Millis(10)
     record_leaving_notice(fleet, row, LeavingNotice(ms(1), BOX))
     apply_limit(fleet, row, RateLimit(1.5, ms(1), BOX), ms(1))
-    extend_rest(row, Millis(60_000), ms(1))
+    apply_rest(row, Millis(60_000), ms(1))
     apply_worker_list(fleet, [], Offset(4), ms(2))
     assert "a" not in fleet.workers.rows
     back = make_worker("a")
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -38,7 +38,7 @@
 from spanshunt.systems.quarantining import QUARANTINE_MS
 from spanshunt.systems.quarantining import may_send_content
 from spanshunt.systems.quarantining import merge_suspect
-from spanshunt.systems.quarantining import quarantines_to_record
+from spanshunt.systems.quarantining import quarantines_to_store
 from spanshunt.systems.quarantining import record_complete_answer
 from spanshunt.systems.quarantining import record_end_during
 from spanshunt.systems.quarantining import records_to_remove
@@ -433,21 +433,21 @@
     fleet = make_fleet()
     content = _quarantine_in(fleet)
     row = fleet.suspect_requests[content]
-    assert quarantines_to_record(fleet, ms(4)) == [row] and not records_to_remove(
+    assert quarantines_to_store(fleet, ms(4)) == [row] and not records_to_remove(
         fleet, ms(4)
     )
     row.recorded = True
-    assert not quarantines_to_record(fleet, ms(4))
+    assert not quarantines_to_store(fleet, ms(4))
     record_complete_answer(fleet, content, ms(5))
     assert records_to_remove(fleet, ms(6)) == [row]
     row.dropped_at = ms(6)
-    assert not records_to_remove(fleet, ms(7)) and not quarantines_to_record(
+    assert not records_to_remove(fleet, ms(7)) and not quarantines_to_store(
         fleet, ms(7)
     )
     for number in range(3):
         _end(fleet, "a", f"v-{number}", 70 + number)
     assert _quarantined_names(fleet, 73) == "a"
-    assert quarantines_to_record(fleet, ms(74)) == [row]
+    assert quarantines_to_store(fleet, ms(74)) == [row]
 
 
 def test_content_that_is_answered_often_is_not_sent_to_peers_each_time():
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -22,7 +22,7 @@
             for _ in range(requests):
                 count_request(fleet, SERVICE, now)
             for _ in range(20):
-                if may_repeat(fleet, SERVICE, now, BOUNDS, for_quality=False):
+                if may_repeat(fleet, SERVICE, now, BOUNDS, for_escalation=False):
                     count_repeat(fleet, SERVICE, now)
                     repeats += 1
             arrivals.append((second, requests, repeats))
@@ -37,10 +37,10 @@
     fleet = make_fleet()
     for _ in range(100):
         count_request(fleet, SERVICE, ms(1))
-    while may_repeat(fleet, SERVICE, ms(1), BOUNDS, for_quality=True):
+    while may_repeat(fleet, SERVICE, ms(1), BOUNDS, for_escalation=True):
         count_repeat(fleet, SERVICE, ms(1))
-    assert may_repeat(fleet, SERVICE, ms(1), BOUNDS, for_quality=False)
+    assert may_repeat(fleet, SERVICE, ms(1), BOUNDS, for_escalation=False)
 
 
 def test_quiet_service_may_repeat():
-    assert may_repeat(make_fleet(), SERVICE, ms(1), BOUNDS, for_quality=False)
+    assert may_repeat(make_fleet(), SERVICE, ms(1), BOUNDS, for_escalation=False)
--- a/tests/test_resting.py
+++ b/tests/test_resting.py
@@ -21,7 +21,7 @@
 from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import choose_worker
 from spanshunt.systems.ramping import VersionRule
-from spanshunt.systems.resting import extend_rest
+from spanshunt.systems.resting import apply_rest
 from spanshunt.systems.resting import rest_left_ms
 from spanshunt.tables.notices import RateLimit
 
@@ -106,10 +106,10 @@
 
 def test_longest_rest_holds():
     row = make_worker("w-1")
-    assert extend_rest(row, Millis(3_000), ms(1))
-    assert not extend_rest(row, Millis(500), ms(2))
+    assert apply_rest(row, Millis(3_000), ms(1))
+    assert not apply_rest(row, Millis(500), ms(2))
     assert rest_left_ms(row, ms(2)) == 2_000
-    assert extend_rest(row, Millis(3_000), ms(2))
+    assert apply_rest(row, Millis(3_000), ms(2))
     assert rest_left_ms(row, ms(6)) == 0
 
 
@@ -117,7 +117,7 @@
     fleet = make_fleet()
     row = add_worker(fleet, make_worker("w-1"))
     row.born = Millis(10)
-    extend_rest(row, Millis(60_000), ms(1))
+    apply_rest(row, Millis(60_000), ms(1))
     again = make_worker("w-1")
     again.born = Millis(20)
     apply_worker_list(fleet, [ListedWorker(again, False)], Offset(1), ms(2))
@@ -128,7 +128,7 @@
     fleet = make_fleet()
     row = add_worker(fleet, make_worker("w-1"))
     row.limit = RateLimit(1_000.0, ms(1), fleet.identity.box)
-    extend_rest(row, Millis(3_000), ms(1))
+    apply_rest(row, Millis(3_000), ms(1))
     wanted = PlacementRequest(
         ServiceId("writer"), VersionRule(), DomainId("north"), allow_tried=True
     )
