--- a/src/spanshunt/exchange.py
+++ b/src/spanshunt/exchange.py
@@ -331,7 +331,7 @@
             rows = [listed(item) for item in news.workers]
             change = apply_worker_list(fleet, rows, Offset(news.workers_end), now)
             fleet.workers_read_at = max(fleet.workers_read_at, read_at)
-            for row in change.ended:
+            for row in change.replaced:
                 self._on_ended(row)
             if not change.empty:
                 log_event("INFO", "workers", source=news.box, **_shown(change))
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -6,7 +6,7 @@
 from ..ids import Offset
 from ..systems.estimating import reportable_prefills
 from ..systems.following_workers import ListedWorker
-from ..systems.following_workers import is_listed_leaving
+from ..systems.following_workers import is_leaving_without_notice
 from ..systems.quarantining import suspects_to_send
 from ..systems.tallies import sum_tallies
 from ..systems.throttling import limits_to_send
@@ -60,7 +60,7 @@
             domain=row.domain,
             versions=tuple(row.versions),
             slots=row.slots,
-            draining=is_listed_leaving(fleet, row),
+            draining=is_leaving_without_notice(fleet, row),
             born=row.born,
             cold_ms=max(0, row.cold_until - now) if row.listed_cold else 0,
         )
--- a/src/spanshunt/platform/recorded_status.py
+++ b/src/spanshunt/platform/recorded_status.py
@@ -9,7 +9,7 @@
 from ..ids import ServiceId
 from ..ids import VersionId
 from ..rollout_lines import log_verdict
-from ..systems.eras import is_same_offset
+from ..systems.eras import has_same_store_offset
 from ..systems.ramping import apply_start_time
 from ..systems.ramping import apply_verdict
 from ..systems.ramping import bar_versions
@@ -33,7 +33,7 @@
         verdict = wire.decode_verdict(status.state)
         version = VersionId(status.target_version)
         order = Offset(status.order)
-        other = order >= 0 and not is_same_offset(order, row.order)
+        other = order >= 0 and not has_same_store_offset(order, row.order)
         if version != row.version or other:
             if verdict is Verdict.ROLLED_BACK and status.order < row.order:
                 bar_versions(row, {version, *map(VersionId, status.barred)})
--- a/src/spanshunt/platform/recorder.py
+++ b/src/spanshunt/platform/recorder.py
@@ -14,7 +14,7 @@
 from ..rollout_lines import log_turned_bad
 from ..rollout_lines import log_verdict
 from ..systems.blaming import summarise_evidence
-from ..systems.eras import is_same_offset
+from ..systems.eras import has_same_store_offset
 from ..systems.exposing import fleet_request_rate
 from ..systems.exposing import postpone_full_phase
 from ..systems.exposing import raise_extra_share
@@ -218,5 +218,5 @@
     if isinstance(decoded, Err) or item.key_file != key:
         return False
     status = decoded.ok_value
-    alike = is_same_offset(Offset(status.order), row.order)
+    alike = has_same_store_offset(Offset(status.order), row.order)
     return status.target_version == row.version and alike
--- a/src/spanshunt/platform/store.py
+++ b/src/spanshunt/platform/store.py
@@ -14,8 +14,8 @@
 from ..kept_sessions import KeptSessions
 from ..systems.eras import MAX_ERAS
 from ..systems.eras import era_of
-from ..systems.eras import offset_of
 from ..systems.eras import position_of
+from ..systems.eras import store_offset_of
 from .wire import ERA
 from .wire import Appended
 from .wire import NewestPage
@@ -189,7 +189,7 @@
         query = {
             "Topic": topic,
             "part": "0",
-            "From": str(offset_of(since)),
+            "From": str(store_offset_of(since)),
             "WaitMs": str(wait_ms),
         }
         if era_of(since) != self._era:
@@ -220,7 +220,7 @@
             if era_of(expected_end) != self._era:
                 detail = "/log-append: an end from before the store's copy"
                 return Err(StoreFault(StoreProblem.CONDITION, detail))
-            query["StoreRevision"] = str(offset_of(expected_end))
+            query["StoreRevision"] = str(store_offset_of(expected_end))
         raw = len(body).to_bytes(4, "big") + body
         got = await self._call("POST", "/log-append", query, raw)
         if isinstance(got, Err):
--- a/src/spanshunt/platform/worker_list.py
+++ b/src/spanshunt/platform/worker_list.py
@@ -96,7 +96,7 @@
         change = apply_worker_list(self._fleet, listed, listing.end, now)
         if listing.end >= self._fleet.workers_end:
             self._fleet.workers_read_at = now
-        for row in change.ended:
+        for row in change.replaced:
             self._on_ended(row)
         if not change.empty:
             log_event(
--- a/src/spanshunt/systems/eras.py
+++ b/src/spanshunt/systems/eras.py
@@ -39,14 +39,14 @@
     return position // ERA_STRIDE
 
 
-def offset_of(position: Offset) -> int:
+def store_offset_of(position: Offset) -> int:
     """Return the store's own offset of a position."""
     return position % ERA_STRIDE
 
 
-def is_same_offset(one: Offset, other: Offset) -> bool:
+def has_same_store_offset(one: Offset, other: Offset) -> bool:
     """Return whether two positions have the same offset, whatever their eras."""
-    return offset_of(one) == offset_of(other)
+    return store_offset_of(one) == store_offset_of(other)
 
 
 def record_era(fleet: Fleet, era: int, now: Millis) -> bool:
@@ -70,14 +70,14 @@
     return era_began >= 0 and now < era_began + OPERATOR_REWRITE_GRACE_MS
 
 
-def _mark_unrecorded(fleet: Fleet, since: Millis) -> None:
+def _mark_unrecorded(fleet: Fleet, oldest_copy_at: Millis) -> None:
     """Mark what was written after `since` as not recorded in the store."""
     for row in fleet.rollouts.rows.values():
-        row.announced = row.announced and row.began < since
-        if row.verdict is not Verdict.RUNNING and row.judged_at >= since:
+        row.announced = row.announced and row.began < oldest_copy_at
+        if row.verdict is not Verdict.RUNNING and row.judged_at >= oldest_copy_at:
             row.recorded = row.rollback_recorded = False
     for suspect in fleet.suspect_requests.values():
-        if suspect.quarantined_at >= since:
+        if suspect.quarantined_at >= oldest_copy_at:
             suspect.recorded = False
-        if suspect.dropped_at >= since:
+        if suspect.dropped_at >= oldest_copy_at:
             suspect.dropped_at = Millis(-1)
--- a/src/spanshunt/systems/following.py
+++ b/src/spanshunt/systems/following.py
@@ -38,7 +38,7 @@
         state.recent_records.append(record)
         count += 1
     if count:
-        _lift_suspensions(state)
+        _drop_withdrawn_suspensions(state)
     return count
 
 
@@ -51,7 +51,7 @@
     state.config = copy_config(config)
     state.recent_records.clear()
     state.snapshot_offset = max(state.snapshot_offset, config.next_offset)
-    _lift_suspensions(state)
+    _drop_withdrawn_suspensions(state)
     return True
 
 
@@ -98,7 +98,7 @@
             pass
 
 
-def _lift_suspensions(state: State) -> None:
+def _drop_withdrawn_suspensions(state: State) -> None:
     """Drop suspensions of versions whose roll-out is pulled back on the log."""
     for version, row in list(state.suspended.items()):
         rollout = state.config.rollouts.get(row.rollout)
--- a/src/spanshunt/systems/following_workers.py
+++ b/src/spanshunt/systems/following_workers.py
@@ -33,7 +33,7 @@
 """A peer not heard for this long is not relied on to read the list, in ms: three gossip
 rounds."""
 
-REFUSAL_TIMEOUT_MS = 3_000
+UNSERVED_TIMEOUT_MS = 3_000
 """How long after a failed call a box that makes no more calls counts as refused, in ms:
 while the store is unreachable for all boxes, each of them calls it that rarely."""
 
@@ -88,7 +88,7 @@
     leaving: tuple[WorkerId, ...] = ()
     gone: tuple[WorkerId, ...] = ()
     kept: tuple[WorkerId, ...] = ()
-    ended: tuple[WorkerRow, ...] = ()
+    replaced: tuple[WorkerRow, ...] = ()
 
     @property
     def empty(self) -> bool:
@@ -104,14 +104,14 @@
         return ListChange()
     fleet.workers_end = end
     present = {item.row.name for item in listed}
-    ended = _find_ended(fleet, listed)
+    replaced = _find_replaced(fleet, listed)
     came, leaving = _apply_present(fleet, listed, now)
-    gone, retained = _apply_missing(fleet, present, now)
+    gone, kept = _apply_missing(fleet, present, now)
     fleet.workers.invalidate_index()
-    return ListChange(came, leaving, gone, retained, ended)
+    return ListChange(came, leaving, gone, kept, replaced)
 
 
-def _find_ended(fleet: Fleet, listed: list[ListedWorker]) -> tuple[WorkerRow, ...]:
+def _find_replaced(fleet: Fleet, listed: list[ListedWorker]) -> tuple[WorkerRow, ...]:
     """Return the rows whose worker ended unplanned, as the list shows.
 
     The list has a later incarnation of it, or a new worker at its address.
@@ -187,21 +187,21 @@
 def _apply_missing(
     fleet: Fleet, present: set[WorkerId], now: Millis
 ) -> tuple[tuple[WorkerId, ...], tuple[WorkerId, ...]]:
-    may_return = awaits_entries(fleet, now)
-    gone, retained = [], []
+    may_return = awaits_missing_entries(fleet, now)
+    gone, kept = [], []
     for name in set(fleet.workers.rows) - present:
         has_expired = fleet.workers.rows[name].listed_at < fleet.list_read_streak.since
         if may_return and has_expired and name not in fleet.workers.leaving:
             if name not in fleet.missing_workers:
-                retained.append(name)
+                kept.append(name)
             fleet.missing_workers.add(name)
             continue
         _remove_worker(fleet, name)
         gone.append(name)
-    return tuple(gone), tuple(retained)
+    return tuple(gone), tuple(kept)
 
 
-def awaits_entries(fleet: Fleet, now: Millis) -> bool:
+def awaits_missing_entries(fleet: Fleet, now: Millis) -> bool:
     """Return whether entries that the list lacks may still come back.
 
     They may just after a time in which no box read the list. A box that was cut off
@@ -212,7 +212,7 @@
 
 def drop_missing_workers(fleet: Fleet, now: Millis) -> tuple[WorkerId, ...]:
     """Remove missing workers that are no longer waited for and return their names."""
-    if not fleet.missing_workers or awaits_entries(fleet, now):
+    if not fleet.missing_workers or awaits_missing_entries(fleet, now):
         return ()
     dropped = tuple(
         name for name in fleet.missing_workers if name in fleet.workers.rows
@@ -281,7 +281,7 @@
     return True
 
 
-def is_listed_leaving(fleet: Fleet, row: WorkerRow) -> bool:
+def is_leaving_without_notice(fleet: Fleet, row: WorkerRow) -> bool:
     """Return whether a worker leaves by other evidence than its own notice."""
     leaves = row.name in fleet.workers.leaving
     return row.listed_leaving or (leaves and row.leaving is None)
@@ -374,7 +374,7 @@
 def is_served_by_store(fleet: Fleet, now: Millis) -> bool:
     """Return whether the store serves this box, by the outcome of its newest calls."""
     store = fleet.store
-    return store.failing_since < 0 or now >= store.failed_at + REFUSAL_TIMEOUT_MS
+    return store.failing_since < 0 or now >= store.failed_at + UNSERVED_TIMEOUT_MS
 
 
 def must_read_list(fleet: Fleet, now: Millis, draining_ms: int) -> bool:
@@ -403,7 +403,7 @@
 def _compute_digest(fleet: Fleet) -> int:
     contents = sorted(
         f"{row.incarnation} {row.address} {row.service} {sorted(row.versions)} "
-        f"{is_listed_leaving(fleet, row)} {row.listed_cold}"
+        f"{is_leaving_without_notice(fleet, row)} {row.listed_cold}"
         for row in fleet.workers.rows.values()
         if row.name not in fleet.missing_workers
     )
--- a/src/spanshunt/systems/invariants.py
+++ b/src/spanshunt/systems/invariants.py
@@ -98,12 +98,12 @@
     check(AT_MOST_ONCE, sends == 0, f"{request} would be sent {sends + 1} times")
 
 
-def check_not_run(started: int, request: RequestId) -> None:
+def check_not_run(sends: int, request: RequestId) -> None:
     """Check that a request that is refused as not run was never sent."""
     check(
         NOT_RUN,
-        started == 0,
-        f"{request} was sent {started} times, but is refused as not run",
+        sends == 0,
+        f"{request} was sent {sends} times, but is refused as not run",
     )
 
 
--- a/src/spanshunt/systems/planner.py
+++ b/src/spanshunt/systems/planner.py
@@ -62,16 +62,16 @@
     """Plan `intents`, in order, on top of `config`."""
     draft = copy_config(config)
     changes: list[Change] = []
-    read: set[ObjectKey] = set()
+    read_keys: set[ObjectKey] = set()
     for index, intent in enumerate(intents):
-        match _plan_one(draft, intent, read):
+        match _plan_one(draft, intent, read_keys):
             case Ok(more):
                 changes.extend(more)
             case Err(problem):
                 field = f"$.intents[{index}].{problem.field}"
                 return Err(IntentProblem(field, problem.problem))
-    touched = read | {change.key for change in changes}
-    base = {key: int(config.revision(key)) for key in sorted(touched)}
+    base_keys = read_keys | {change.key for change in changes}
+    base = {key: int(config.revision(key)) for key in sorted(base_keys)}
     planned = tuple(changes)
     name = PlanId(digest([planned, base]))
     return Ok(
@@ -79,7 +79,7 @@
     )
 
 
-def _plan_one(draft: Config, intent: Intent, read: set[ObjectKey]) -> Planned:
+def _plan_one(draft: Config, intent: Intent, read_keys: set[ObjectKey]) -> Planned:
     match intent:
         case DeclareService():
             row = ServiceRow(
@@ -91,7 +91,7 @@
             )
             return _put_service(draft, row)
         case DeclareVersion():
-            return _declare_version(draft, intent, read)
+            return _declare_version(draft, intent, read_keys)
         case DeclareOrg():
             return _declare_org(draft, intent)
         case AllowVersions() | DisallowVersions():
@@ -99,9 +99,9 @@
         case SetCredentials() | SetLimits():
             return _change_org(draft, intent)
         case SetQuality():
-            return _set_quality(draft, intent, read)
+            return _set_quality(draft, intent, read_keys)
         case EnterVersion():
-            return _enter_version(draft, intent, read)
+            return _enter_version(draft, intent, read_keys)
         case LeaveVersion():
             return _withdraw_version(draft, intent)
 
@@ -114,10 +114,10 @@
 
 
 def _declare_version(
-    draft: Config, intent: DeclareVersion, read: set[ObjectKey]
+    draft: Config, intent: DeclareVersion, read_keys: set[ObjectKey]
 ) -> Planned:
     service = draft.services.get(ServiceId(intent.service))
-    read.add(service_key(ServiceId(intent.service)))
+    read_keys.add(service_key(ServiceId(intent.service)))
     if service is None or service.kind is not ServiceKind.MODEL:
         return Err(
             _unknown_name("service", intent.service, _model_service_names(draft))
@@ -200,7 +200,9 @@
     return Ok([PutOrg(row)])
 
 
-def _set_quality(draft: Config, intent: SetQuality, read: set[ObjectKey]) -> Planned:
+def _set_quality(
+    draft: Config, intent: SetQuality, read_keys: set[ObjectKey]
+) -> Planned:
     service = draft.services.get(ServiceId(intent.service))
     if service is None:
         return Err(_unknown_name("service", intent.service, list(draft.services)))
@@ -215,7 +217,7 @@
             for row in service.classes
         )
         return _put_service(draft, msgspec.structs.replace(service, classes=classes))
-    read.add(service_key(ServiceId(intent.service)))
+    read_keys.add(service_key(ServiceId(intent.service)))
     row = draft.orgs.get(OrgId(intent.org))
     if row is None:
         return Err(_unknown_name("org", intent.org, list(draft.orgs)))
@@ -225,7 +227,7 @@
 
 
 def _enter_version(
-    draft: Config, intent: EnterVersion, read: set[ObjectKey]
+    draft: Config, intent: EnterVersion, read_keys: set[ObjectKey]
 ) -> Planned:
     version = draft.versions.get(VersionId(intent.version))
     if version is None:
@@ -235,7 +237,7 @@
             f"{version.name} is {version.state.value}; only a declared one can enter"
         )
         return Err(IntentProblem("version", problem))
-    read.add(service_key(ServiceId(version.service)))
+    read_keys.add(service_key(ServiceId(version.service)))
     guards = intent.guards or GuardRails()
     problem = _guard_problem(guards)
     if problem:
--- a/src/spanshunt/systems/proving.py
+++ b/src/spanshunt/systems/proving.py
@@ -56,14 +56,15 @@
     return max((peer.catalog_version for peer in fleet.peers.values()), default=-1)
 
 
-def is_catalog_proved(fleet: Fleet, now: Millis, most_ms: float) -> bool:
-    """Return whether the catalog was the newest within the last `most_ms`.
+def is_catalog_proved(fleet: Fleet, now: Millis, max_age_ms: float) -> bool:
+    """Return whether the catalog was the newest within the last `max_age_ms`.
 
     It was not if a peer reports a newer version.
     """
     age = proof_age(fleet, now)
     return (
-        0 <= age <= most_ms and newest_reported_version(fleet) <= fleet.catalog_version
+        0 <= age <= max_age_ms
+        and newest_reported_version(fleet) <= fleet.catalog_version
     )
 
 
@@ -73,8 +74,8 @@
     The first box by name of those that are heard and served does. In a large fleet a
     box hears few others: it is not the first while one before it proves.
     """
-    proved = fleet.preceding_box_proof_at
-    if proved >= 0 and now - proved < DOMAIN_FRACTION * in_force_ms:
+    proved_at = fleet.preceding_box_proof_at
+    if proved_at >= 0 and now - proved_at < DOMAIN_FRACTION * in_force_ms:
         return False
     return is_served_by_store(fleet, now) and all(
         fleet.identity.box < peer.box
--- a/src/spanshunt/systems/ramping.py
+++ b/src/spanshunt/systems/ramping.py
@@ -24,8 +24,8 @@
 from ..utils import unit_hash
 from .eras import MAX_COPY_AGE_MS
 from .eras import era_of
-from .eras import is_same_offset
-from .eras import offset_of
+from .eras import has_same_store_offset
+from .eras import store_offset_of
 from .exposing import entering_share
 from .tallies import has_excess_faults
 from .watching import can_fall_back
@@ -196,7 +196,7 @@
     if not is_same_content or era_of(order) == era_of(known.newest_order):
         return False
     oldest = fleet.store.era_began - MAX_COPY_AGE_MS
-    return is_same_offset(order, known.newest_order) or known.began >= oldest
+    return has_same_store_offset(order, known.newest_order) or known.began >= oldest
 
 
 def _is_older_order(known: RolloutRow, order: Offset) -> bool:
@@ -207,7 +207,7 @@
     """
     if era_of(order) <= era_of(known.newest_order):
         return order < known.newest_order
-    return known.before >= 0 and offset_of(order) <= offset_of(known.before)
+    return known.before >= 0 and store_offset_of(order) <= store_offset_of(known.before)
 
 
 def apply_start_time(row: RolloutRow, began: Millis, *, seen: bool) -> None:
--- a/tests/test_following_machine.py
+++ b/tests/test_following_machine.py
@@ -83,7 +83,7 @@
                     box.fleet.peers[me.box] = row
         self.entries: dict[str, bool] = {}
         self.listed: dict[str, int] = {}
-        self.lapsed: dict[str, int] = {}
+        self.expired: dict[str, int] = {}
         self.left: dict[str, int] = {}
         self.end = 0
         self.up = True
@@ -110,20 +110,20 @@
             self.end += 1
 
     @precondition(lambda self: self.up)
-    @rule(ticks=st.integers(20, 60), lapse=st.booleans())
-    def store_goes_away(self, ticks, lapse):
+    @rule(ticks=st.integers(20, 60), expire=st.booleans())
+    def store_goes_away(self, ticks, expire):
         """Make the store unreachable; entries of live workers expire and return."""
         self.up = False
         self._pass(ticks)
         self.up = True
         now = self.clock.now()
         self.unstable = now
-        for name in [name for name in self._living() if lapse]:
+        for name in [name for name in self._living() if expire]:
             if self.rng.random() < 0.5:
                 del self.entries[name]
                 self.end += 1
                 if self.rng.random() < 0.8:
-                    self.lapsed[name] = now + self.rng.randrange(200, 1_800)
+                    self.expired[name] = now + self.rng.randrange(200, 1_800)
                 else:
                     self.left[name] = now + ENTRY_GRACE_MS
 
@@ -157,9 +157,9 @@
         for _ in range(ticks):
             self.clock.advance(TICK_MS)
             now = self.clock.now()
-            for name in [name for name, at in self.lapsed.items() if at <= now]:
+            for name in [name for name, at in self.expired.items() if at <= now]:
                 if self.up:
-                    del self.lapsed[name]
+                    del self.expired[name]
                     self._write(name, False)
             self.end += 1
             for box in self.boxes:
--- a/tests/test_following_workers.py
+++ b/tests/test_following_workers.py
@@ -58,7 +58,7 @@
     assert fleet.workers.rows["a"].inflight == 3
 
 
-def test_entry_that_lapsed_with_the_store_is_waited_for():
+def test_entry_that_expired_during_an_outage_is_waited_for():
     fleet = make_fleet()
     record_list_read(fleet, ms(1))
     apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
@@ -70,8 +70,8 @@
     assert usable(fleet) == {"a"}
 
 
-def test_entry_seen_after_the_return_is_not_waited_for_when_it_goes():
-    """A worker whose entry went 0.4 s after the store's return gets no requests."""
+def test_entry_seen_after_the_outage_is_not_waited_for_when_it_goes():
+    """A worker whose entry went 0.4 s after the outage gets no requests."""
     fleet = make_fleet()
     record_list_read(fleet, ms(1))
     apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
@@ -126,7 +126,7 @@
     assert usable(fleet) == {"a", "b"}
 
 
-def test_draining_worker_is_not_kept_over_the_stores_return():
+def test_draining_worker_is_not_kept_after_an_outage():
     fleet = make_fleet()
     record_list_read(fleet, ms(1))
     apply_worker_list(fleet, listed("a", "b", draining=("b",)), Offset(2), ms(1))
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -39,9 +39,9 @@
 from spanshunt.systems.eras import MAX_COPY_AGE_MS
 from spanshunt.systems.eras import OPERATOR_REWRITE_GRACE_MS
 from spanshunt.systems.eras import era_of
-from spanshunt.systems.eras import offset_of
 from spanshunt.systems.eras import position_of
 from spanshunt.systems.eras import record_era
+from spanshunt.systems.eras import store_offset_of
 from spanshunt.systems.evacuating import apply_evacuation
 from spanshunt.systems.evacuating import is_evacuated
 from spanshunt.systems.evacuating import revoke_unlisted
@@ -90,10 +90,10 @@
 def test_position_of_a_later_era_is_newer():
     assert position_of(3, 5) > position_of(2, 5_000_000)
     assert era_of(position_of(3, 5)) == 3
-    assert offset_of(position_of(3, 5)) == 5
+    assert store_offset_of(position_of(3, 5)) == 5
 
 
-def test_first_era_is_no_return():
+def test_first_era_is_no_restore():
     fleet = make_fleet()
     assert not record_era(fleet, 7, ms(1))
     assert record_era(fleet, 8, ms(2))
@@ -151,14 +151,14 @@
     assert order_version(fleet, "v2", 2, 41, at=later / 1_000)
 
 
-def test_box_that_starts_after_the_return_takes_the_place_that_others_know():
+def test_box_that_starts_after_a_restore_takes_the_position_that_others_know():
     fleet = fleet_in_era(2)
     order_version(fleet, "v2", 2, 57)
     assert not order_version(fleet, "v2", 1, 57, at=0.5)
     assert fleet.rollouts.rows[SERVICE].order == position_of(1, 57)
 
 
-def test_what_was_written_long_before_is_not_looked_at_again():
+def test_verdict_written_long_before_the_copy_is_not_written_again():
     fleet = fleet_in_era()
     order_version(fleet, "v2", 1, 40)
     row = fleet.rollouts.rows[SERVICE]
@@ -167,7 +167,7 @@
     assert row.recorded
 
 
-def test_domain_whose_record_the_copy_lacks_stays_emptied_for_a_while():
+def test_domain_whose_record_the_copy_lacks_stays_evacuated_for_a_while():
     fleet = fleet_in_era()
     add_worker(fleet, make_worker("w-1"))
     apply_evacuation(fleet, EvacuationRow(NORTH, position_of(1, 9), active=True), ms(1))
@@ -178,7 +178,7 @@
     assert revoke_unlisted(fleet, set(), position_of(2, 8), later) == (NORTH,)
 
 
-async def test_peer_that_has_not_heard_of_the_return_does_not_say_what_stands():
+async def test_peer_that_has_not_heard_of_the_restore_does_not_say_what_is_recorded():
     """A peer that does not know of the restore reports what was recorded before it.
 
     A box that knows of the restore checks the store itself.
@@ -221,7 +221,7 @@
     def copy(self) -> None:
         self.copied = (self.end, dict(self.active))
 
-    def come_back(self) -> None:
+    def restore(self) -> None:
         self.end, self.active = self.copied[0], dict(self.copied[1])
         self.era += 1
 
@@ -230,7 +230,7 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["empty", "free", "copy", "back", "read"]),
+            st.sampled_from(["evacuate", "revoke", "copy", "restore", "read"]),
             st.sampled_from(["north", "south"]),
         ),
         max_size=40,
@@ -246,23 +246,23 @@
 
     def read() -> None:
         for domain, offset in store.active.items():
-            place = position_of(store.era, offset)
-            apply_evacuation(fleet, EvacuationRow(domain, place, True), Millis(now))
+            position = position_of(store.era, offset)
+            apply_evacuation(fleet, EvacuationRow(domain, position, True), Millis(now))
         end = position_of(store.era, store.end)
         revoke_unlisted(fleet, set(store.active), end, Millis(now))
 
     for step, name in steps:
         now += 100
         domain = DomainId(name)
-        if step in ("empty", "free"):
-            expected[domain] = step == "empty"
+        if step in ("evacuate", "revoke"):
+            expected[domain] = step == "evacuate"
             apply_evacuation(
                 fleet, store.write(domain, active=expected[domain]), Millis(now)
             )
         elif step == "copy":
             store.copy()
-        elif step == "back":
-            store.come_back()
+        elif step == "restore":
+            store.restore()
             record_era(fleet, store.era, Millis(now))
             read()
             for known, active in expected.items():
@@ -277,7 +277,7 @@
         assert is_evacuated(fleet, domain) is active
 
 
-async def drill(fleet: TestFleet, kept: t.Any) -> None:
+async def restore_and_configure(fleet: TestFleet, kept: t.Any) -> None:
     """Restore the store from a copy and let the operator write again."""
     await fleet.store.come_back(kept)
     await fleet.configure(fleet_config(fleet))
@@ -302,7 +302,7 @@
             await fleet.store.come_back(kept)
             await until(
                 lambda round_=round_: fleet.boxes[0].node.fleet.store.era == 1 + round_,
-                "the return is known",
+                "the restore is known",
                 wait=25,
             )
             assert all(box.node.fleet.catalog.version >= 9 for box in fleet.boxes)
@@ -428,7 +428,7 @@
         await client.stop()
 
 
-async def test_order_that_comes_just_after_the_return_is_known_at_once():
+async def test_order_that_comes_just_after_a_restore_is_known_at_once():
     """A box applies an order that arrives just after a restore without delay.
 
     A box that waits for what the copy lacks and drops the records that arrive meanwhile
@@ -438,7 +438,7 @@
     async with running_fleet() as fleet:
         node = fleet.boxes[0].node
         await fleet.store.come_back(fleet.store.copy())
-        await until(lambda: node.fleet.store.era == 2, "the return is known", wait=25)
+        await until(lambda: node.fleet.store.era == 2, "the restore is known", wait=25)
         await asyncio.sleep(0.5)
         body = {"Backend": "writer", "TargetVersion": "v2", "DurationS": 60.0}
         await fleet.store.put("keyed.op", "rollout/writer", body)
--- a/tests/test_worker_entries.py
+++ b/tests/test_worker_entries.py
@@ -170,7 +170,7 @@
     listed = [ListedWorker(row, False) for row in rows]
     return [
         row.incarnation
-        for row in apply_worker_list(fleet, listed, Offset(end), ms(end)).ended
+        for row in apply_worker_list(fleet, listed, Offset(end), ms(end)).replaced
     ]
 
 
