--- a/src/spanshunt/systems/admitting.py
+++ b/src/spanshunt/systems/admitting.py
@@ -1,4 +1,8 @@
-"""Admission: finds the route and the organisation of a request."""
+"""Admission: finds the route and the organisation of a request in the catalog.
+
+This module serves a box that runs ``spanshunt.platform.node``. The catalog is what such
+a box routes by; ``spanshuntd`` routes by a configuration instead.
+"""
 
 import msgspec
 from result import Err
@@ -17,12 +21,14 @@
 CATALOG_WAIT_FRACTION, MAX_CATALOG_WAIT_MS = 0.125, 1_000
 """How long a request waits at a box that knows no catalog yet: a fraction of the time
 that its caller has left, and the upper bound in ms. A box reads the catalog as soon as
-it starts, and a caller may have no attempt left."""
+it starts, so a short wait often suffices, and a refusal would fail a request whose
+caller has no attempt left."""
 
 RETRY_FRACTION, MAX_RETRY_MS = 1 / 6, 2_000
 """When a caller should retry at a box that still knows no catalog: a fraction of the
-time that the caller has left, and the upper bound in ms. Neither the store nor a peer
-has answered by then, and outages last for seconds."""
+time that the caller has left, and the upper bound in ms. At the end of the wait above,
+neither the store nor a peer has answered; as outages last for seconds, an earlier retry
+would mostly be refused again."""
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True):
@@ -88,7 +94,11 @@
 
 
 def unproved_catalog_refusal(catalog: Catalog | None, left_ms: int) -> Refusal:
-    """Return the refusal of a request that the newest catalog may allow."""
+    """Return the refusal for a box that can't tell whether its catalog is the newest.
+
+    It stands in for a refusal by that catalog, which a newer one might not give. It
+    asks the caller to retry.
+    """
     known = catalog.version if catalog is not None else "none"
     detail = f"this box can't verify that catalog {known} is the newest"
     return _not_ready_refusal(detail, left_ms)
--- a/src/spanshunt/systems/claiming.py
+++ b/src/spanshunt/systems/claiming.py
@@ -1,4 +1,8 @@
-"""Calls that may run once: the order of the log decides which request may run a key."""
+"""Claims of idempotency keys, for calls that may be sent at most once.
+
+The first claim of a key on the log wins, and only its request may send the call. This
+module works on tables of the daemon ``spanshuntd``.
+"""
 
 from result import Ok
 
@@ -29,8 +33,9 @@
 def fold_claims(table: ClaimTable, record: LogRecord) -> tuple[Release, ...]:
     """Fold one record and return the releases that this box must append to the log.
 
-    A box that gave up a claim because its append had no answer must release that claim
-    if the claim wins after all.
+    A box gives up a call if it can't read its claim back from the log in time, and
+    tells the caller that the call did not run. If the log has the claim after all and
+    the claim wins, the box must release it, so that the key is free again.
     """
     if record.offset < table.next_offset:
         return ()
@@ -83,7 +88,7 @@
 
 
 def may_send(table: ClaimTable, key: str, request: RequestId) -> bool:
-    """Return whether `request` holds `key` and was neither sent nor given up."""
+    """Return whether `request` holds `key`, with its call neither sent nor given up."""
     own = table.own.get(request)
     held = winning_claim(table, key)
     return (
--- a/src/spanshunt/systems/eras.py
+++ b/src/spanshunt/systems/eras.py
@@ -5,6 +5,13 @@
 its offset. The state of a box does not go back: the box keeps what it knows, waits for
 others to write their records again, and rewrites what it may itself have written since
 the copy was made.
+
+An `Offset` in this program is such a position. The store's own offset, which repeats
+after a restore, is a plain integer here.
+
+This module works on `Fleet`, the tables of a box that runs
+``spanshunt.platform.node``. :func:`record_era` changes these tables only and never
+writes to the store; "recorded" in a row means that the store holds it.
 """
 
 from ..ids import Millis
@@ -21,8 +28,9 @@
 restore an hour, they last for 500 years."""
 
 MAX_COPY_AGE_MS = 60_000
-"""Maximum age of a copy, in ms. Copies are some seconds old, so records written before
-that need not be checked again."""
+"""Maximum age of a copy when a box learns that the store was restored from it, in ms.
+Copies are some seconds old. Records older than this are taken to be in the copy and are
+not written again, so one that an older copy lacks stays lost."""
 
 OPERATOR_REWRITE_GRACE_MS = 5_000
 """How long after a restore a missing operators' record is not treated as revoked, in
@@ -45,12 +53,12 @@
 
 
 def has_same_store_offset(one: Offset, other: Offset) -> bool:
-    """Return whether two positions have the same offset, whatever their eras."""
+    """Return whether two positions have the same offset in the store in their eras."""
     return store_offset_of(one) == store_offset_of(other)
 
 
 def record_era(fleet: Fleet, era: int, now: Millis) -> bool:
-    """Record the store's era and return whether the store was just restored."""
+    """Note the store's era and return whether the store was just restored."""
     if era <= fleet.store.era:
         return False
     is_first_report = fleet.store.era < 0
@@ -58,7 +66,8 @@
     if is_first_report:
         return False
     fleet.store.era_began = now
-    # The copy may lack entries of workers, as the list does after an outage.
+    # The copy may lack entries of workers, as the list does after an outage. A streak
+    # that begins now makes the box wait for the missing ones.
     fleet.list_read_streak.since = fleet.list_read_streak.last = now
     _mark_unrecorded(fleet, Millis(now - MAX_COPY_AGE_MS))
     return True
@@ -71,7 +80,12 @@
 
 
 def _mark_unrecorded(fleet: Fleet, oldest_copy_at: Millis) -> None:
-    """Mark what was written after `since` as not recorded in the store."""
+    """Mark what was written since `oldest_copy_at` as not recorded in the store.
+
+    The box then records the start of a running roll-out, a verdict, a rollback after a
+    success and a quarantine again. It also removes the record of a dropped quarantine
+    again, which the copy may still hold.
+    """
     for row in fleet.rollouts.rows.values():
         row.announced = row.announced and row.began < oldest_copy_at
         if row.verdict is not Verdict.RUNNING and row.judged_at >= oldest_copy_at:
--- a/src/spanshunt/systems/fleet_size.py
+++ b/src/spanshunt/systems/fleet_size.py
@@ -1,4 +1,8 @@
-"""The number of boxes, and how boxes spread work in time without coordination."""
+"""The number of boxes, and how boxes spread work in time without coordination.
+
+This module works on `Fleet`, the tables of a box that runs
+``spanshunt.platform.node``.
+"""
 
 from ..ids import BoxId
 from ..ids import Millis
--- a/src/spanshunt/systems/fold.py
+++ b/src/spanshunt/systems/fold.py
@@ -1,7 +1,7 @@
 """The fold of the configuration stream, which is the same function on every box.
 
 The same records give the same tables, whatever the clock, the box or the way in which
-the records arrived.
+the records arrived. The daemon ``spanshuntd`` holds these tables.
 """
 
 import msgspec
--- a/src/spanshunt/systems/following.py
+++ b/src/spanshunt/systems/following.py
@@ -1,4 +1,8 @@
-"""Application of configuration records and snapshots from the log or a peer."""
+"""Application of configuration records and snapshots from the log or a peer.
+
+This module works on `State`, the tables of the daemon ``spanshuntd``.
+:mod:`.following_workers` belongs to another process.
+"""
 
 import typing as t
 
@@ -99,7 +103,11 @@
 
 
 def _drop_withdrawn_suspensions(state: State) -> None:
-    """Drop suspensions of versions whose roll-out is pulled back on the log."""
+    """Drop suspensions that a folded record has made needless.
+
+    A suspension keeps requests from a version until the record that pulls back its
+    roll-out is folded. That record withdraws the version, so it still gets no requests.
+    """
     for version, row in list(state.suspended.items()):
         rollout = state.config.rollouts.get(row.rollout)
         if rollout is not None and rollout.state.value == "pulled_back":
--- a/src/spanshunt/systems/following_workers.py
+++ b/src/spanshunt/systems/following_workers.py
@@ -4,6 +4,16 @@
 is unreachable, which shows as a time in which no box read the list. A worker whose
 entry has not been seen since that time is retained until a grace period after it,
 unless there is other evidence against it.
+
+Such a retained worker is missing: it is in ``Fleet.missing_workers``, stays in the
+table and still gets requests. A worker is gone once it is removed from the table. A
+worker is replaced if a later run of it, or another worker at its address, is seen while
+it was not leaving; it then ended unplanned.
+
+This module works on `Fleet`, the tables of a box that runs
+``spanshunt.platform.node``; :mod:`.following` belongs to another process and applies
+configuration records. The functions named ``record_...`` change these tables only and
+never write to the store.
 """
 
 import zlib
@@ -34,20 +44,22 @@
 rounds."""
 
 UNSERVED_TIMEOUT_MS = 3_000
-"""How long after a failed call a box that makes no more calls counts as refused, in ms:
-while the store is unreachable for all boxes, each of them calls it that rarely."""
+"""How long after its last failed call a box counts as not served by the store, in ms.
+After that it counts as served again, although no call succeeded: while the store is
+unreachable for all boxes, a box may call it this rarely."""
 
 FOLLOWERS_PER_DOMAIN = 2
 """Number of boxes of a failure domain that follow the operators' records, have an entry
 in the list of boxes, and read the quarantined contents. With two, a box that is frozen,
-cut off or killed delays nobody; each further one makes a call for each record and one
-every 20 s."""
+cut off or killed delays no other box. Each further one makes a call for each record and
+one every 20 s, as a long poll for records ends after that time."""
 
 RETRY_PAUSE_PER_BOX_MS = 200
 """Pause between the calls of a box whose last call to the store failed and for which
-another box should read, in ms for each box of its failure domain. Together they make
-five calls a second, however many they are. Two boxes call as often as the reader
-does."""
+another box should read the list, in ms for each box of its failure domain, the reader
+included. Together the boxes of a domain make five calls a second, however many boxes
+there are. With two boxes, each pauses for 400 ms, as a reader does between calls that
+fail."""
 
 STALE_LIST_FRACTION = 0.6
 """A list older than this fraction of the time within which a leaving worker must get no
@@ -68,7 +80,8 @@
     row : WorkerRow
         The worker.
     draining : bool
-        Whether the entry says that the worker leaves.
+        Whether the entry says that the worker leaves, which marks the worker as
+        leaving.
     cold_ms : int or None
         How much longer the worker is cold after its start, in ms; None if unknown.
     problem : str
@@ -82,7 +95,21 @@
 
 
 class ListChange(msgspec.Struct, frozen=True):
-    """Changes by a list, for logs; ``ended`` are rows of incarnations that ended."""
+    """Changes by a list.
+
+    Attributes
+    ----------
+    came : tuple
+        Workers, or new incarnations of them, that were added to the table.
+    leaving : tuple
+        Workers that the list newly says are leaving.
+    gone : tuple
+        Workers that were removed from the table.
+    kept : tuple
+        Workers that are newly missing: absent from the list, but still used.
+    replaced : tuple
+        Former rows of workers that ended unplanned and have a successor in the list.
+    """
 
     came: tuple[WorkerId, ...] = ()
     leaving: tuple[WorkerId, ...] = ()
@@ -112,9 +139,10 @@
 
 
 def _find_replaced(fleet: Fleet, listed: list[ListedWorker]) -> tuple[WorkerRow, ...]:
-    """Return the rows whose worker ended unplanned, as the list shows.
+    """Return the rows whose worker ended unplanned, as its successor shows.
 
-    The list has a later incarnation of it, or a new worker at its address.
+    The list has a later incarnation of the worker, or a new worker at its address, and
+    the worker was not leaving.
     """
     rows = fleet.workers.rows
     new_rows = [item.row for item in listed if item.row.name not in rows]
@@ -202,10 +230,11 @@
 
 
 def awaits_missing_entries(fleet: Fleet, now: Millis) -> bool:
-    """Return whether entries that the list lacks may still come back.
+    """Return whether entries that are absent from the list may still come back.
 
-    They may just after a time in which no box read the list. A box that was cut off
-    waits only until it hears of a box that kept reading: then no entry expired.
+    They may for a grace period after a time in which no box read the list. If only this
+    box was cut off, no entry expired: once a peer reports reads without a gap,
+    `record_list_read` moves the start of the streak back, which ends the wait.
     """
     return now < fleet.list_read_streak.since + ENTRY_GRACE_MS
 
@@ -225,6 +254,11 @@
 
 
 def _remove_worker(fleet: Fleet, name: WorkerId) -> None:
+    """Remove a worker from the table.
+
+    Its row stays marked as leaving for requests that still hold the row. The name is
+    not marked any more, as a worker may be added under it again.
+    """
     fleet.missing_workers.discard(name)
     _mark_leaving(fleet, name)
     fleet.workers.leaving.discard(name)
@@ -261,7 +295,12 @@
 
 
 def _mark_leaving(fleet: Fleet, name: WorkerId) -> None:
-    """Give a worker no new requests while its entry exists."""
+    """Mark a worker as leaving, so that it gets no new requests.
+
+    Either of the two marks set here is enough to keep requests away. The mark on the
+    row lasts as long as the row, and that on the name until the worker is removed or a
+    new incarnation is added.
+    """
     fleet.workers.leaving.add(name)
     row = fleet.workers.rows.get(name)
     if row is not None:
@@ -271,8 +310,8 @@
 def record_leaving_notice(fleet: Fleet, row: WorkerRow, notice: LeavingNotice) -> bool:
     """Record a worker's notice that it leaves and return whether it is new.
 
-    The notice holds for this incarnation of the worker, whatever its entry says and
-    however long the entry exists.
+    The notice holds for this incarnation of the worker: an entry that does not say that
+    the worker leaves does not revoke it.
     """
     if row.leaving is not None:
         return False
@@ -282,13 +321,18 @@
 
 
 def is_leaving_without_notice(fleet: Fleet, row: WorkerRow) -> bool:
-    """Return whether a worker leaves by other evidence than its own notice."""
+    """Return whether a worker leaves by other evidence than its own notice.
+
+    Such evidence is its entry in the list or, for a worker that sent no notice, any
+    other mark in ``Workers.leaving``. Either kind of evidence sets that mark, which
+    keeps requests away.
+    """
     leaves = row.name in fleet.workers.leaving
     return row.listed_leaving or (leaves and row.leaving is None)
 
 
 def mark_replaced(fleet: Fleet, row: WorkerRow) -> None:
-    """Record that a worker ended, as another one answered at its address."""
+    """Mark a worker as leaving, as another one answered at its address."""
     _mark_leaving(fleet, row.name)
     fleet.workers.invalidate_index()
 
@@ -372,7 +416,11 @@
 
 
 def is_served_by_store(fleet: Fleet, now: Millis) -> bool:
-    """Return whether the store serves this box, by the outcome of its newest calls."""
+    """Return whether the store counts as serving this box.
+
+    It does if the last call succeeded, or if the last failure is `UNSERVED_TIMEOUT_MS`
+    old.
+    """
     store = fleet.store
     return store.failing_since < 0 or now >= store.failed_at + UNSERVED_TIMEOUT_MS
 
@@ -391,7 +439,7 @@
 def list_digest(fleet: Fleet) -> int:
     """Return a number that is equal for lists with the same contents; 0 without a list.
 
-    Workers whose entries expired are left out: each box waits for them by itself.
+    Missing workers are left out, as each box waits for their entries by itself.
     """
     if fleet.workers_read_at < 0:
         return 0
--- a/src/spanshunt/systems/forgetting.py
+++ b/src/spanshunt/systems/forgetting.py
@@ -1,4 +1,8 @@
-"""Periodic removal of rows that are too old to count."""
+"""Periodic removal of rows that are too old to count.
+
+This module works on `Fleet`, the tables of a box that runs
+``spanshunt.platform.node``.
+"""
 
 from ..ids import Millis
 from ..tables.fleet import Fleet
--- a/src/spanshunt/systems/freshness.py
+++ b/src/spanshunt/systems/freshness.py
@@ -6,10 +6,17 @@
 because a configuration counts as accepted only once a majority of the boxes holds it,
 so that any two majorities share a box that has it. ``docs/decisions/0003`` weighs this.
 
+Each answer to an exchange acknowledges the records that the answering box holds. A
+witness is a box whose answers count towards such a majority: it has every configuration
+that became accepted through acknowledgements of any of its runs.
+
 Boxes have no disks, so a box that was replaced has lost what its previous run held. It
-is no witness, for itself or others, until a proof of freshness covers a time
-:data:`ACK_VALIDITY_MS` after its start: by then, no configuration can still become
-accepted through acknowledgements of the previous run.
+is a witness only once it was fresh at a time :data:`ACK_VALIDITY_MS` after the start of
+this run. By then, no configuration could become accepted any more through
+acknowledgements of the previous run, and all that were accepted before are held.
+
+This module works on `State`, the tables of the daemon ``spanshuntd``;
+:mod:`.proving` serves the same purpose on the boxes that route by a catalog.
 """
 
 from ..ids import Millis
@@ -20,11 +27,11 @@
 NEVER = Millis(-1)
 
 ACK_VALIDITY_MS = 5_000
-"""How long a box's statement that it holds a record counts for acceptance, in ms."""
+"""How long a box's acknowledgement of a record counts for acceptance, in ms."""
 
 
 def record_fresh_proof(state: State, at: Millis) -> None:
-    """Record a proof that the configuration was fresh at `at`, if it is the newest.
+    """Note that the configuration was fresh at `at`; an older proof changes nothing.
 
     Parameters
     ----------
@@ -55,7 +62,11 @@
 
 
 def is_witness(state: State) -> bool:
-    """Return whether this box holds everything that any run of it said it holds."""
+    """Return whether this box is a witness; see the module's text.
+
+    A witness has every configuration that became accepted through acknowledgements of
+    any of its runs.
+    """
     return state.fresh_at != NEVER and state.fresh_at >= state.started + ACK_VALIDITY_MS
 
 
@@ -81,9 +92,10 @@
 
 
 def count_holders(state: State, offset: Offset, now: Millis) -> int:
-    """Return how many listed boxes state that they hold the record at `offset`.
+    """Return how many listed boxes acknowledged the record at `offset`.
 
-    A statement older than :data:`ACK_VALIDITY_MS` does not count.
+    An acknowledgement is an answer at ``answered_at``; one older than
+    :data:`ACK_VALIDITY_MS` does not count.
     """
     members = state.members
     others = sum(
--- a/src/spanshunt/systems/gossip.py
+++ b/src/spanshunt/systems/gossip.py
@@ -3,6 +3,10 @@
 The size of a message does not grow with the number of boxes: it holds a sample of the
 member rows, about half of them from the box's own failure domain, and only the evidence
 that is new to the peer.
+
+This module works on `State`, the tables of the daemon ``spanshuntd``. A peer, also
+called a member, is another box that runs it. `now` is a time of the monotonic clock and
+`wall` one of the wall clock, by which evidence is grouped into epochs; both are in ms.
 """
 
 import random
@@ -44,7 +48,7 @@
 """How long the row of a silent peer is kept, in ms."""
 
 MAX_SUSPENSION_MS = 600_000
-"""How long a suspension lasts that the log never confirms, in ms."""
+"""How long a suspension lasts if no record withdraws the version, in ms."""
 
 
 def build_exchange(
@@ -82,7 +86,12 @@
 
 
 def apply_exchange(state: State, message: Exchange, now: Millis, wall: Millis) -> None:
-    """Apply a peer's message, except for what only an answer can prove."""
+    """Apply a peer's message, except for the proofs of freshness in it.
+
+    ``fresh_age`` and the fields on witnesses count only in an answer, which was made
+    after this box's own message was sent. Another message may have been on its way for
+    any time, so its ages prove nothing.
+    """
     merge_member(state, message.sender, now)
     for row in message.members:
         merge_member(state, row, now)
@@ -99,7 +108,8 @@
     """Apply the answer to an exchange that this box began at `sent`.
 
     Ages in an answer count from `sent`, as the answer was made after it: a late packet
-    can only make this box overestimate the age of its configuration.
+    can only make this box overestimate the age of its configuration. If this box still
+    lacks records that the peer has, the answer proves nothing about its configuration.
     """
     if answer.snapshot is not None:
         apply_snapshot(state, answer.snapshot)
@@ -117,7 +127,7 @@
 
 
 def own_digest(state: State) -> MemberDigest:
-    """Return the row that describes this box."""
+    """Return the summary of this box for peers; nothing is hashed."""
     return MemberDigest(
         box=state.identity.box,
         domain=state.identity.domain,
@@ -131,7 +141,7 @@
 
 
 def merge_member(state: State, member: MemberDigest, now: Millis) -> None:
-    """Merge a member's row; its heartbeat counts only if it rose."""
+    """Merge a summary of a member into its row, if its heartbeat rose."""
     if member.box == state.identity.box:
         return
     row = state.members.rows.get(member.box)
--- a/src/spanshunt/systems/invariants.py
+++ b/src/spanshunt/systems/invariants.py
@@ -1,8 +1,10 @@
 """Invariants of the program, asserted where they take effect.
 
 Each check raises an error if its invariant is about to be broken. The process then
-hands its journal to peers and stops, and never sends a wrong answer.
-``docs/PROMISES.md`` lists the invariants.
+hands its journal, the bills that are not on the log yet, to peers and stops, and never
+sends a wrong answer. ``docs/PROMISES.md`` lists the invariants.
+
+The tables here are those of the daemon ``spanshuntd``.
 """
 
 import collections
@@ -24,14 +26,31 @@
 from .claiming import may_send
 
 ALLOWED = "allowed-version"
+"""A request goes only to a version or service that its organisation may use."""
+
 WITHDRAWN = "withdrawn-version"
+"""A version gets requests only while it is entering or active."""
+
 SESSION = "session-version"
+"""A session changes its version only if that was withdrawn or is no longer allowed."""
+
 LEAVING = "leaving-worker"
+"""A leaving worker gets no new requests."""
+
 ONE_BILL = "one-bill"
+"""A box bills a request once."""
+
 AT_MOST_ONCE = "at-most-once"
+"""A call that may not be repeated is sent once, by the request that holds its key."""
+
 NEVER_REVERTS = "configuration-never-reverts"
+"""An older configuration never replaces a newer one."""
+
 NOT_RUN = "not-run-is-true"
+"""A request that is refused as not run did not run at any worker."""
+
 OWN_ANSWER = "own-whole-answer"
+"""A chat answer is ended as complete only with its usage; checked where it is sent."""
 
 checks: collections.Counter[str] = collections.Counter()
 """How often each invariant was checked in this process."""
@@ -98,12 +117,15 @@
     check(AT_MOST_ONCE, sends == 0, f"{request} would be sent {sends + 1} times")
 
 
-def check_not_run(sends: int, request: RequestId) -> None:
-    """Check that a request that is refused as not run was never sent."""
+def check_not_run(runs: int, request: RequestId) -> None:
+    """Check that a request that is refused as not run had no attempt that may have run.
+
+    `runs` counts such attempts. An attempt that a worker did not take is none.
+    """
     check(
         NOT_RUN,
-        sends == 0,
-        f"{request} was sent {sends} times, but is refused as not run",
+        runs == 0,
+        f"{request} may have run {runs} times, but is refused as not run",
     )
 
 
--- a/src/spanshunt/systems/journaling.py
+++ b/src/spanshunt/systems/journaling.py
@@ -1,4 +1,8 @@
-"""Bills on their way to the log: recorded, copied to peers, appended and taken over."""
+"""Bills on their way to the log: recorded, copied to peers, appended and taken over.
+
+This module works on tables of the daemon ``spanshuntd``. A bill is recorded in the
+journal in memory first and appended to the log in a batch later.
+"""
 
 import typing as t
 
--- a/src/spanshunt/systems/planner.py
+++ b/src/spanshunt/systems/planner.py
@@ -1,4 +1,11 @@
-"""The planner: makes a plan from intents without changing the configuration."""
+"""The planner: makes a plan from intents without changing the configuration.
+
+A plan holds the revision of each object that it changes or was derived from. If one of
+them has another revision when the plan is to be applied, the plan conflicts; so
+planning also collects the keys of the objects that it only reads, as `read_keys`.
+
+This module works on the configuration of the daemon ``spanshuntd``.
+"""
 
 import itertools
 import typing as t
@@ -47,7 +54,7 @@
 
 
 class IntentProblem(msgspec.Struct, frozen=True):
-    """Why an intent can't be planned: its field, and what is allowed there."""
+    """Why an intent can't be planned: the field at fault, and what is wrong with it."""
 
     field: str
     problem: str
@@ -229,6 +236,7 @@
 def _enter_version(
     draft: Config, intent: EnterVersion, read_keys: set[ObjectKey]
 ) -> Planned:
+    """Plan the start of the roll-out of a declared version, which is then entering."""
     version = draft.versions.get(VersionId(intent.version))
     if version is None:
         return Err(_unknown_name("version", intent.version, list(draft.versions)))
@@ -248,6 +256,7 @@
 
 
 def _withdraw_version(draft: Config, intent: LeaveVersion) -> Planned:
+    """Plan the withdrawal of a version; the intent's name calls it leaving."""
     version = draft.versions.get(VersionId(intent.version))
     if version is None:
         return Err(_unknown_name("version", intent.version, list(draft.versions)))
--- a/tests/test_following_machine.py
+++ b/tests/test_following_machine.py
@@ -112,7 +112,10 @@
     @precondition(lambda self: self.up)
     @rule(ticks=st.integers(20, 60), expire=st.booleans())
     def store_goes_away(self, ticks, expire):
-        """Make the store unreachable; entries of live workers expire and return."""
+        """Make the store unreachable; it loses no records, but entries may expire.
+
+        Most expired entries of live workers are written again after the outage.
+        """
         self.up = False
         self._pass(ticks)
         self.up = True
--- a/tests/test_following_workers.py
+++ b/tests/test_following_workers.py
@@ -82,7 +82,10 @@
 
 
 def test_entry_that_went_while_other_boxes_read_the_list_is_not_waited_for():
-    """A worker that leaves just as a box is reconnected is not kept by that box."""
+    """A box that was cut off does not keep a worker that left while others read.
+
+    The second read report, of a peer without a gap, shows that no entry expired.
+    """
     fleet = make_fleet()
     record_list_read(fleet, ms(1))
     apply_worker_list(fleet, listed("a", "b"), Offset(2), ms(1))
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -1,4 +1,4 @@
-"""Restores of the store from a copy: what a box knows stays, what was lost returns.
+"""Restores of the store from a copy: boxes keep their state and rewrite lost records.
 
 Offsets go back and are assigned again, a read beyond the end gets 410, and what was
 written since the copy is gone. A box must not take 410 for trimmed records, nor a
