--- a/src/spanshunt/systems/ending.py
+++ b/src/spanshunt/systems/ending.py
@@ -3,7 +3,10 @@
 A broken connection alone tells little: network links fail, idle connections are closed,
 and workers abort answers and go on. A worker has ended if its address refuses
 connections just after, or if another incarnation of it, or another worker, appears at
-that address.
+that address. An incarnation is one run of a worker, from its start to its end.
+
+Workers are listed in the store: each has an entry, and boxes read the list from there
+or get it from peers. The entry of a worker that restarted may arrive seconds later.
 """
 
 from ..ids import Millis
@@ -16,8 +19,8 @@
 
 BREAK_VALID_MS = 5_000
 """How long before the detected end of a worker a broken connection still counts as part
-of it, in ms. If the address keeps accepting connections, only the list shows the end,
-once the worker is back some seconds later."""
+of it, in ms. If the address keeps accepting connections, only the list of workers shows
+the end, once the worker is back some seconds later."""
 
 MAX_BREAKS = 256
 """Maximum number of broken connections kept per worker: twice the number of requests
@@ -48,7 +51,11 @@
 
 
 def record_worker_return(fleet: Fleet, worker: WorkerRow, now: Millis) -> None:
-    """Record an answer of a worker; one that had ended has a new incarnation."""
+    """Record that a worker answered; called for each answer.
+
+    If this box had found that the worker ended, the answer counts as one of a new
+    incarnation, also if that finding was wrong. Otherwise nothing changes.
+    """
     if worker.ended_at >= 0:
         worker.ended_at = Millis(-1)
         worker.return_count += 1
--- a/src/spanshunt/systems/evacuating.py
+++ b/src/spanshunt/systems/evacuating.py
@@ -1,8 +1,8 @@
 """Failure domains that operators evacuate: their workers get no requests.
 
 The newest order for a domain applies, by its offset in the operators' stream, no matter
-from where the box received it. When a domain is returned to service, its workers may
-have just started.
+from where the box received it. Once the evacuation of a domain is revoked, its workers
+may have just started.
 """
 
 import typing as t
@@ -31,9 +31,10 @@
 def apply_evacuation(fleet: Fleet, received: EvacuationRow, now: Millis) -> bool:
     """Apply an operator's order; return whether this changes where requests may go.
 
-    That an evacuation was revoked may follow only from the absence of its record in a
-    complete list of records. It then gets the offset at which the list ended; a record
-    at that offset is newer.
+    A revocation may arrive as an order with its own offset. If the box missed that
+    order, it sees only that a complete list of records lacks the evacuation. The
+    revocation then gets the offset of the list's end, which the next record gets too;
+    such a record is newer than the list and therefore wins.
     """
     known = fleet.evacuations.get(received.domain)
     if known is not None and _sort_key(known) >= _sort_key(received):
@@ -50,6 +51,9 @@
 ) -> tuple[DomainId, ...]:
     """Revoke evacuations that a complete list of records lacks; return their domains.
 
+    For some seconds after a restore of the store from a copy, nothing is revoked:
+    records that the copy lacks may still be written again by the operators' tools.
+
     Parameters
     ----------
     fleet : Fleet
@@ -76,6 +80,7 @@
 
 
 def _sort_key(row: EvacuationRow) -> tuple[Offset, bool]:
+    """Return a key that rises with newer orders; for ties see `apply_evacuation`."""
     return row.order, row.active
 
 
--- a/src/spanshunt/systems/limiting.py
+++ b/src/spanshunt/systems/limiting.py
@@ -1,8 +1,9 @@
 """Limits of organisations that boxes share without a coordinator.
 
 Each box uses a share of an organisation's rate limit that is proportional to its share
-of the demand, by the last reports of its peers. The shares add up to the limit while
-these reports are correct; a box that became silent counts until its row expires.
+of the demand, by the usage rows that its peers sent last. The shares add up to the
+limit while these rows are correct. A box whose row for the organisation is missing or
+expired counts with a minimum demand, as long as it counts as a box at all.
 """
 
 import enum
@@ -21,7 +22,7 @@
 
 DAY_MS = 86_400_000
 PEER_USAGE_VALID_MS = 10_000
-"""How long a peer's row is valid, in ms."""
+"""How long the usage row that a peer sent is valid, in ms."""
 
 MIN_DEMAND = 0.2
 """Demand that each box counts with at least, in requests a second, even if it sees
@@ -90,7 +91,10 @@
 def update_usage(
     usage: Usage, limits: dict[OrgId, Limits], boxes: int, now: Millis, period: int
 ) -> None:
-    """Update demand and allowances; `period` is the time since the last call, in ms."""
+    """Update this box's demand and its shares of the organisations' rate limits.
+
+    `period` is the time since the last call, in ms.
+    """
     _expire_peer_usage(usage, now)
     others: dict[OrgId, list[UsageRow]] = {}
     for peer in usage.heard.values():
@@ -116,7 +120,10 @@
 
 
 def own_usage_rows(usage: Usage, incarnation: str) -> tuple[UsageRow, ...]:
-    """Return this box's usage rows for peers, of organisations that use anything."""
+    """Return this box's usage rows for peers, of organisations that use anything.
+
+    `incarnation` identifies the current run of this box, which counts in these rows.
+    """
     return tuple(
         UsageRow(
             incarnation, org, round(own.demand, 3), own.running, own.day, own.spent
@@ -129,7 +136,10 @@
 def merge_peer_usage(
     usage: Usage, rows: tuple[UsageRow, ...], own_incarnation: str, now: Millis
 ) -> None:
-    """Merge the usage rows that a peer sent for itself."""
+    """Merge the usage rows that a peer sent for itself.
+
+    Rows of this run of this box, `own_incarnation`, are ignored.
+    """
     for row in rows:
         if row.origin != own_incarnation:
             usage.heard[(row.origin, row.org)] = PeerUsage(row, now)
--- a/src/spanshunt/systems/pacing.py
+++ b/src/spanshunt/systems/pacing.py
@@ -1,5 +1,9 @@
 """How fast engines generate tokens: the usual time between events, and slow answers.
 
+An event is one server-sent event of a streamed answer, and a gap is the time between
+two consecutive events. Events are timed and counted, whatever number of tokens they
+contain.
+
 The usual time is learned as a low quantile, from workers whose version is not being
 rolled out. Slow workers among them, or a few slow answers of each, hardly change it,
 and a new version does not make its own slowness the usual one.
@@ -13,7 +17,7 @@
 from ..tables.workers import WorkerRow
 
 GAP_QUANTILE = 0.1
-"""Quantile of the times between events that is the usual one. It depends little on the
+"""Quantile of the mean gaps of answers that is the usual gap. It depends little on the
 load, and stays correct while most workers are several times slower."""
 
 MAX_STEP, MIN_STEP = 0.5, 0.05
@@ -29,7 +33,7 @@
 are slow, as the other answers of a batch wait for these."""
 
 MIN_GAPS = 3
-"""Minimum number of times between events for which an answer shows its speed, as
+"""Minimum number of gaps, not their length, from which an answer shows its speed, as
 engines prefill other prompts in between."""
 
 MIN_DECODE_MS = 300
@@ -44,7 +48,7 @@
     worker: WorkerRow,
     gap_ms: float,
 ) -> None:
-    """Learn from the mean time between events of a complete answer."""
+    """Learn the usual gap from the mean gap of a complete answer, `gap_ms`."""
     rollout = fleet.rollouts.rows.get(service)
     on_trial = rollout is not None and rollout.verdict is not Verdict.SUCCEEDED
     if rollout is not None and on_trial and rollout.version in worker.versions:
@@ -62,7 +66,7 @@
 def merge_decode_speed(
     fleet: Fleet, service: ServiceId, model: ModelId, gap_ms: float
 ) -> None:
-    """Merge a time that a peer learned: each box moves a little towards it."""
+    """Merge the usual gap that a peer learned: each box moves a little towards it."""
     speed = fleet.decode_speeds.get((service, model))
     if speed is None:
         fleet.decode_speeds[(service, model)] = DecodeSpeed(gap_ms, 1)
@@ -73,8 +77,8 @@
 STALL_DEDUCTION_MS = 600
 """Time deducted from an answer that is still being generated, in ms, so that the
 prefill of another prompt in between does not make it slow. Without it, a third to a
-half of the answers of the leaving version counted as slow; a tenth were slow at their
-end."""
+half of the answers of the leaving version, the one that a roll-out replaces, counted as
+slow at some event; judged only once complete, a tenth did."""
 
 
 def has_enough_gaps(gaps: int) -> bool:
--- a/src/spanshunt/systems/quarantining.py
+++ b/src/spanshunt/systems/quarantining.py
@@ -1,10 +1,22 @@
 """Quarantine of request contents that are suspected of crashing workers.
 
 A worker that ends takes a dozen requests with it, of which one may be the cause. Each
-of them becomes a suspect, and a complete answer from a worker clears it. A content
-during which three workers ended, with no complete answer in between, is quarantined: no
-box sends it to any worker. While a content is a suspect it goes to workers that process
-no other suspect, so that fewer suspects are at the same worker when it ends.
+of them becomes a suspect, and a complete answer from a worker clears it. A content that
+three workers were processing when they ended, with no complete answer in between, is
+quarantined: no box sends it to any worker. While a content is a suspect it goes to
+workers that process no other suspect, so that fewer suspects are at the same worker
+when it ends.
+
+A content is what equal requests have in common, and its fingerprint identifies it.
+``Fleet.suspect_requests`` has one row for each content that a worker was processing
+when it ended, or that an operator released. The content is a suspect while ends count,
+i.e. are later than a minute after its last complete answer, and quarantined once three
+count. Once the content is cleared, no end counts, but the row is kept for some time if
+it was shared with peers.
+
+Functions named ``record_`` note something in the memory of this box. The record of a
+quarantine is in the platform's store, from which boxes that start read it;
+``SuspectRequest.dropped_at`` is when that record was removed.
 """
 
 import typing as t
@@ -27,15 +39,15 @@
 would quarantine many harmless requests; the third costs one more worker."""
 
 QUARANTINE_MS = 3_600_000
-"""How long after the last end a content stays quarantined before it is tried once more,
-in ms. A cause that nobody fixes thus costs one worker an hour."""
+"""How long after the last worker end a content stays quarantined before it is tried
+once more, in ms. A cause that nobody fixes thus costs one worker an hour."""
 
 QUARANTINE_EXPIRY_MS = 24 * 3_600_000
 """How long after the last change a quarantined content is forgotten, in ms."""
 
 SUSPECT_EXPIRY_MS = 600_000
-"""The same for a suspect that is not quarantined, in ms. Callers that repeat a request
-do so within this time."""
+"""The same for a suspect that is not quarantined, in ms. Callers that send a request
+again do so within this time."""
 
 MAX_SUSPECTS = 2_048
 """Maximum number of suspects kept; the one unchanged for longest is evicted first. They
@@ -50,8 +62,9 @@
 whose digest differs. Each takes some 100 bytes."""
 
 STORE_DELAY_MS = 150
-"""Delay before a quarantine is recorded in the store, in ms. Boxes that quarantine a
-content at the same time learn of each other meanwhile, and one of them records it."""
+"""Delay before the record of a quarantine is written to the store, in ms. Boxes that
+quarantine a content at the same time learn of each other meanwhile, and one of them
+writes it."""
 
 MAX_COMPLETED = 4_096
 """Maximum number of completely answered contents kept: two minutes of a box's requests,
@@ -69,7 +82,10 @@
     worker: WorkerRow,
     now: Millis,
 ) -> SuspectRequest:
-    """Record that a worker ended while it processed a content; return its row."""
+    """Record that a worker ended while it processed a content.
+
+    Returns the row of the content.
+    """
     row = fleet.suspect_requests.get(fingerprint)
     if row is None:
         row = fleet.suspect_requests[fingerprint] = SuspectRequest(
@@ -107,8 +123,9 @@
 ) -> None:
     """Release a content by an operator's order, given at `at`.
 
-    The release also covers ends before it that this box learns of later. Ends after it
-    count again.
+    Worker ends before the release no longer count, even if this box learns of them
+    later; those after it count at once. A complete answer also clears the content for
+    `CLEARED_MS` after it, so the release is stored as an answer that long before.
     """
     row = fleet.suspect_requests.setdefault(
         fingerprint, SuspectRequest(fingerprint, ServiceId(""), shared=True)
@@ -118,14 +135,14 @@
 
 
 def share_suspect(fleet: Fleet, fingerprint: Fingerprint, now: Millis) -> None:
-    """Share a suspect whose attempts here ended without a complete answer."""
+    """Share a suspect with peers, as its request here got no complete answer."""
     row = fleet.suspect_requests.get(fingerprint)
     if row is not None and not row.shared:
         row.shared, row.changed_at = True, now
 
 
 def is_suspect(fleet: Fleet, fingerprint: Fingerprint) -> bool:
-    """Return whether a worker ended during a content since it was last cleared."""
+    """Return whether a content is a suspect, i.e. whether any worker end counts."""
     row = fleet.suspect_requests.get(fingerprint)
     return row is not None and bool(row.counted_ends())
 
@@ -138,7 +155,7 @@
 
 
 def quarantined_contents(fleet: Fleet) -> list[SuspectRequest]:
-    """Return the quarantined contents."""
+    """Return the rows of the quarantined contents."""
     return [row for row in fleet.suspect_requests.values() if is_quarantined(row)]
 
 
@@ -148,7 +165,8 @@
     """Return whether a content may be sent to a worker now.
 
     A quarantined content is tried again by one box, one attempt at a time, once its
-    time is over or no worker is left with a version that ended during it.
+    time is over, or once all workers run other versions than the workers that ended
+    while they processed it.
 
     Parameters
     ----------
@@ -169,7 +187,10 @@
 
 
 def _has_new_versions_only(fleet: Fleet, row: SuspectRequest) -> bool:
-    """Return whether the service has workers, all without a version that ended."""
+    """Return whether the service has workers, and all run new versions.
+
+    A version is new if no worker that ended with the content ran it.
+    """
     workers = fleet.workers
     versions: set[VersionId] = set()
     for worker in workers.find_capable(row.service, None):
@@ -266,8 +287,9 @@
 def quarantines_to_store(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
     """Return the quarantined contents that this box must record in the store now.
 
-    The box that quarantined a content records it. If that box is not heard, the first
-    by name of those that are does.
+    The box that quarantined a content writes the record. If that box is not heard, the
+    first by name of those that are does. A content whose record was removed needs a new
+    one if it is quarantined again.
     """
     heard = live_peers(fleet, now)
     return [
@@ -281,9 +303,10 @@
 
 
 def records_to_remove(fleet: Fleet, now: Millis) -> list[SuspectRequest]:
-    """Return the recorded contents that were cleared or released since.
+    """Return the contents whose record this box must remove from the store now.
 
-    Without the removal of its record, a box that starts would quarantine them again.
+    They were cleared by a complete answer or released by an operator since. With the
+    record, a box that starts would quarantine them again.
     """
     heard = live_peers(fleet, now)
     return [
--- a/src/spanshunt/systems/recognising.py
+++ b/src/spanshunt/systems/recognising.py
@@ -1,4 +1,4 @@
-"""Fingerprints of requests: equal for repeats of one content at any box.
+"""Fingerprints of requests: equal for all requests with one content, at any box.
 
 Two requests have the same content if one organisation sends them with the same method,
 host, path with query, and body. Ids, sessions, deadlines and headers that the system
--- a/src/spanshunt/systems/repeats.py
+++ b/src/spanshunt/systems/repeats.py
@@ -1,9 +1,12 @@
 """Retry budget: each box keeps to its share, so that all boxes keep to the total.
 
-A service may get, in any window of some seconds, at most a ratio of its requests plus a
-slack as repeated arrivals, i.e. arrivals beyond the first of each request, summed over
-all boxes. A box that repeats at most that ratio of its own requests, plus its part of
-the slack, needs no information from the other boxes.
+A repeat is a further attempt of this box for one request, beyond the first that
+reached a worker: a retry after a failure, or an escalation to a larger model. A request
+that the caller sends again is a new request, not a repeat.
+
+In any window of some seconds, all boxes together may send a service at most a ratio of
+its requests as repeats, plus a slack. A box that repeats at most that ratio of its own
+requests, plus its part of the slack, needs no information from the other boxes.
 """
 
 import msgspec
@@ -16,15 +19,17 @@
 
 RATIO_SHARE = 0.85
 """Part of the allowed ratio that is used. The rest covers requests that a box counted
-for a service which another catalog version names differently."""
+for the service while boxes with another version of the catalog have another name for
+it."""
 
 SLACK_SHARE = 0.6
-"""Part of the slack that is shared out, as a box that restarts begins with a new
-share."""
+"""Part of the slack that is shared out. A box that restarts forgets the repeats that it
+counted and may use its share once more within the same window; the rest covers that for
+two thirds of the boxes."""
 
 ESCALATION_SHARE = 0.8
-"""Part of the budget that repeats for quality may use; the rest is kept for
-failures."""
+"""Part of the budget that escalations to a larger model may use; the rest is kept for
+retries after failures."""
 
 
 class RepeatBounds(msgspec.Struct, frozen=True):
@@ -33,9 +38,9 @@
     Attributes
     ----------
     ratio : float
-        Repeats for each request in the window.
+        Allowed repeats for each request in the window.
     slack : float
-        Repeats in the window in addition to those.
+        Repeats in the window that are allowed in addition to those by `ratio`.
     window_s : int
         Length of the window, in s.
     min_boxes : int
@@ -49,7 +54,17 @@
 
 
 class RetryBudget(msgspec.Struct, frozen=True):
-    """Numbers of requests, repeats and allowed repeats of a service in the window."""
+    """Requests and repeats that this box sent a service in the window, and the limit.
+
+    Attributes
+    ----------
+    requests : int
+        Requests, each counted once.
+    repeats : int
+        Repeats so far.
+    allowed : float
+        Maximum number of repeats for that number of requests.
+    """
 
     requests: int
     repeats: int
@@ -62,12 +77,12 @@
 
 
 def count_repeat(fleet: Fleet, service: ServiceId, now: Millis) -> None:
-    """Count an arrival at `service` beyond the first of its request."""
+    """Count a repeat that is sent to `service`."""
     _current_second(fleet, service, now).repeats += 1
 
 
 def uncount_repeat(fleet: Fleet, service: ServiceId, at: Millis) -> None:
-    """Uncount an arrival counted at `at` that did not reach a worker."""
+    """Uncount a repeat counted at `at`, as it did not reach a worker."""
     for second in fleet.traffic[service].seconds:
         if second.number == at // 1_000:
             second.repeats -= 1
@@ -83,8 +98,8 @@
 ) -> bool:
     """Return whether the budget allows one more repeat now.
 
-    Repeats for quality stop at a part of the budget, so that the rest is left for
-    failures.
+    Escalations to a larger model stop at a part of the budget, so that the rest is left
+    for retries after failures.
     """
     if service not in fleet.traffic:
         return True
@@ -96,7 +111,7 @@
 def retry_budget(
     fleet: Fleet, service: ServiceId, now: Millis, bounds: RepeatBounds
 ) -> RetryBudget:
-    """Return this box's requests and repeats of `service`, and the allowed ones."""
+    """Return this box's requests and repeats of `service`, and the allowed repeats."""
     oldest = now // 1_000 - bounds.window_s
     traffic = fleet.traffic.get(service, Traffic())
     recent = [second for second in traffic.seconds if second.number >= oldest]
--- a/src/spanshunt/systems/resting.py
+++ b/src/spanshunt/systems/resting.py
@@ -1,7 +1,8 @@
 """Rest periods: a worker that rejects a request may ask for a pause with Retry-After.
 
-A rest period holds between one box and one incarnation of a worker; every other box
-learns of its own from the worker.
+A rest period holds only for the box whose request was rejected, and only for the
+incarnation of the worker that rejected it. Boxes do not tell each other of rest
+periods: each box gets its own, of whatever length the worker asks it for.
 """
 
 from ..ids import Millis
@@ -10,7 +11,7 @@
 
 
 def apply_rest(row: WorkerRow, rest_ms: Millis, now: Millis) -> bool:
-    """Record a rest that a worker asks for; return whether this extends its rest.
+    """Begin or extend a worker's rest as it asks for; return whether its end changes.
 
     The longest rest holds: a shorter one that is asked for later does not shorten it.
     """
--- a/src/spanshunt/systems/silence.py
+++ b/src/spanshunt/systems/silence.py
@@ -6,6 +6,11 @@
 to each other. A single report may be caused by one long request or by a box that is cut
 off from the network. Reports of two boxes, with no byte received from the worker since,
 exclude it.
+
+As with an ejected worker, a worker that is excluded gets requests only if no other
+worker is left. An ejection follows from the failures that this box itself met, and a
+worker whose silence this box reports is usually ejected here too; an exclusion follows
+from the reports of two boxes.
 """
 
 import msgspec
@@ -17,8 +22,8 @@
 from ..utils import unit_hash
 
 MIN_REPORTERS = 2
-"""Boxes that must have found a worker silent; a single box also reports busy
-workers."""
+"""Number of boxes that must have found a worker silent. A single box may also have
+reported a worker that is only busy with a long request."""
 
 REPORT_VALID_MS = 2_500
 """How long a report is valid at most, in ms. Each box ignores it after a time of its
@@ -26,7 +31,7 @@
 back."""
 
 MIN_VALID_SHARE = 0.4
-"""Smallest part of that time for which a report is valid."""
+"""Smallest part of `REPORT_VALID_MS` for which a box considers a report valid."""
 
 
 class SilenceReport(msgspec.Struct, frozen=True):
--- a/src/spanshunt/systems/throttling.py
+++ b/src/spanshunt/systems/throttling.py
@@ -1,5 +1,8 @@
 """Rate limits that workers announce for the requests of all boxes together.
 
+A worker announces its limit with a notice, a header of its answers. A box that receives
+the notice forwards the limit to its peers.
+
 Boxes share such a rate without communication. Each box gets one grant in every period,
 and the period grows with the number of boxes. The phase of the grants differs from box
 to box. An unused grant expires soon, so that grants that several boxes left unused are
@@ -26,24 +29,28 @@
 on the number of boxes, or learn of the limit at different times."""
 
 GRANT_VALID_MS = 1_500
-"""How long a grant is valid, in ms. Grants of 4 s, and those still valid from before,
-amount to 5.5 s of the rate. A worker tolerates 6 s of its rate, and five requests, in
-4 s."""
+"""How long a grant is valid, in ms. A worker tolerates, in any window of 4 s, 1.5 times
+the requests that its rate allows there, i.e. as many as in 6 s, and five more. In such
+a window, boxes can use the grants of 4 s and those still valid from the 1.5 s before
+it, i.e. the grants of 5.5 s."""
 
 MIN_RATE_PER_S = 0.25
 """Requests a second that boxes send at least, even if the worker takes fewer or none.
 Otherwise no box would learn that it takes more again."""
 
 GRANT_RESERVED_MS = 500
-"""How long a grant is reserved for eager requests, in ms. A grant that is still unused
-after that shows that grants are not scarce."""
+"""How long a grant is reserved for eager requests, in ms. A request is eager if it may
+use a grant as soon as it is valid: all of the service's most urgent priority, a share
+of the less urgent ones, and no escalation to a larger model. A grant that is still
+unused after that shows that grants are not scarce, so the other requests may use
+it."""
 
 MAX_LIMITS_SENT = 16
 """Maximum number of limits sent in one message to a peer, newest first."""
 
 REVOCATION_SENT_MS = 5_000
-"""How long boxes tell each other that a worker no longer names a limit, in ms. All of
-them learn it within a few rounds of gossip."""
+"""How long boxes tell each other that a worker no longer announces a limit, in ms. All
+of them learn it within a few rounds of gossip."""
 
 
 class WorkerLimit(msgspec.Struct, frozen=True):
@@ -54,14 +61,14 @@
 
 
 def is_limited(row: WorkerRow) -> bool:
-    """Return whether a worker currently names a rate limit."""
+    """Return whether a worker currently announces a rate limit."""
     return row.limit is not None and row.limit.per_s is not None
 
 
 def apply_limit(fleet: Fleet, row: WorkerRow, limit: RateLimit, now: Millis) -> bool:
     """Apply a limit unless a newer one is known; return whether the rate changes.
 
-    The absence of a limit is recorded only for a worker that has named one.
+    The absence of a limit is recorded only for a worker that has announced one.
     """
     known = row.limit
     if known is None and limit.per_s is None:
@@ -87,18 +94,25 @@
 
 
 def clear_limit(row: WorkerRow, now: Millis) -> None:
-    """Clear the limit of a worker that ended, and ignore older reports of it."""
+    """Clear the limit of a worker that ended.
+
+    Notices that arrived before are ignored from now on, even if a peer forwards them.
+    """
     row.limit = row.rate_limiter = None
     row.notices_since = now
 
 
 def has_limited_workers(fleet: Fleet, service: ServiceId) -> bool:
-    """Return whether any worker of a service names a rate limit."""
+    """Return whether any worker of a service announces a rate limit."""
     return any(is_limited(row) for row in fleet.workers.find_capable(service, None))
 
 
 def grant_wait_ms(fleet: Fleet, row: WorkerRow, now: Millis, *, eager: bool) -> Millis:
-    """Return how long this box must wait before it sends to a limited worker, in ms."""
+    """Return how long this box must wait before it sends to a limited worker, in ms.
+
+    A request that is not `eager` waits until the grant is no longer reserved for eager
+    ones.
+    """
     limit = row.limit
     assert limit is not None
     assert limit.per_s is not None
@@ -131,7 +145,7 @@
 def apply_peer_limit(
     fleet: Fleet, worker: WorkerId, born: Millis, limit: RateLimit, now: Millis
 ) -> WorkerRow | None:
-    """Apply a limit that a peer reports; return the worker's row if its rate changes.
+    """Apply a limit that a peer forwards; return the worker's row if its rate changes.
 
     A limit of another incarnation of the worker is ignored, and so is one of an
     incarnation that has ended.
--- a/src/spanshunt/systems/timing.py
+++ b/src/spanshunt/systems/timing.py
@@ -1,4 +1,4 @@
-"""Timeouts for the first byte and for gaps, based on the usual times of answers."""
+"""Timeouts for the first byte and for stalls, based on the usual times of answers."""
 
 from ..ids import Millis
 from ..ids import ModelId
@@ -13,25 +13,29 @@
 
 MIN_TARGET_SHARE = 0.55
 """The first byte is awaited for at least this part of the route's target latency. The
-rest must be enough for an answer from elsewhere."""
+rest must be enough for an answer from elsewhere. The next bytes of a stream are awaited
+for at least the same part of the route's target for gaps, or of its target latency if
+it has none."""
 
 UNKNOWN_USUAL_FACTOR = 1.2
-"""The first byte is awaited for this part of the target latency if no usual time is
-known. After a restart of all boxes, engines are busy with requests that callers
-repeat."""
+"""Multiple of the route's target latency for which the first byte is awaited while the
+usual time to the first byte is unknown. It is above 1 because no usual time is known
+after a restart of all boxes, when engines are busy with requests that callers send
+again."""
 
 MIN_STALL_MS = 950
-"""A shorter gap in a stream is not treated as a stall, in ms. An engine that prefills
-long prompts between the tokens of others takes nearly as long for an event, and a
-stream that is resumed elsewhere is prefilled again there."""
+"""A shorter time without bytes in a stream is not treated as a stall, in ms. An engine
+that prefills long prompts between the tokens of others takes nearly as long for an
+event, and a stream that is resumed elsewhere is prefilled again there."""
 
 RECENTLY_SENT_MS = 400
-"""A worker that sent bytes on any request within this time is alive, in ms. Its pending
-answers are awaited for longer, as it is more likely busy than stuck."""
+"""If a worker sent bytes on any request within this time, in ms, its pending answers
+are awaited for longer, as it is more likely busy than stuck. A worker that did not may
+just be idle."""
 
 RECENTLY_SENT_FACTOR = 2.5
-"""Factor by which timeouts are longer for a worker that is alive. Asking elsewhere
-sooner adds to the load of engines that are merely busy."""
+"""Factor by which timeouts are longer for a worker that sent bytes recently. Asking
+elsewhere sooner adds to the load of engines that are merely busy."""
 
 SLOW_FACTOR = 3.0
 """An answer counts as slow if its first byte took this many times the usual time."""
--- a/src/spanshunt/systems/warming.py
+++ b/src/spanshunt/systems/warming.py
@@ -17,12 +17,14 @@
 
 PLANNED_SHARE = 1 / 3
 """Part of the allowed rate of a cold worker that boxes plan to use. The rest covers two
-requests of one box that arrive within one second, and random variation in the number of
-boxes that the hash selects."""
+requests that one box sends a second apart but that arrive within one second, and random
+variation in the number of boxes that the hash selects."""
 
 SEND_INTERVAL_MS = 1_000
-"""Shortest interval between two requests of one box to the same cold worker, in ms, if
-there are many boxes. Each box then counts once in any second."""
+"""Time that a box waits between two requests to the same cold worker, in ms, if there
+are at least as many boxes as requests planned per second. Each box then sends at most
+one request in any second. Fewer boxes must each send more, so they wait for a shorter
+time."""
 
 
 def is_cold(row: WorkerRow, now: Millis) -> bool:
@@ -31,7 +33,12 @@
 
 
 def may_send_to(fleet: Fleet, row: WorkerRow, now: Millis) -> bool:
-    """Return whether this box may send to a worker now, as it may if that is warm."""
+    """Return whether this box may send to a worker now.
+
+    It may if the worker is warm, or cold without a limit in the catalog. To any other
+    cold worker it may send only if it has finished looking for peers, the hash selects
+    this box, and its last request to the worker is long enough ago.
+    """
     if not is_cold(row, now):
         return True
     rate = _planned_rate(fleet, row)
@@ -53,7 +60,12 @@
 
 
 def mark_cold(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
-    """Mark a worker as cold that may have just started; its entry may say so later."""
+    """Mark a worker as cold that may have just started.
+
+    The worker's entry in the list of workers, which the box reads from the store or
+    gets from peers, may state the rest of its cold time, but it may arrive seconds
+    later.
+    """
     catalog = fleet.catalog
     service = catalog.services.get(row.service) if catalog is not None else None
     if service is not None:
--- a/src/spanshunt/systems/worker_health.py
+++ b/src/spanshunt/systems/worker_health.py
@@ -55,7 +55,10 @@
 
 
 def record_unreachable(row: WorkerRow, now: Millis) -> None:
-    """Eject a worker for a while that can't be reached or stopped responding."""
+    """Eject a worker for a while that can't be reached or stopped responding.
+
+    An ejected worker gets requests only if no other worker is left.
+    """
     row.failures += 1
     _eject(row, now)
 
--- a/src/spanshunt/tables/fleet.py
+++ b/src/spanshunt/tables/fleet.py
@@ -110,7 +110,17 @@
 
 
 class ModelStats(msgspec.Struct):
-    """Moving mean of the confidence that a model's answers report."""
+    """Quality of a model's answers, as this box observed it.
+
+    Attributes
+    ----------
+    confidence : float
+        Moving mean of the probability, in 0 to 1, that an answer is good. Each answer's
+        reported confidence is mapped to that probability first. The caller that
+        creates this row passes a prior of 0.9.
+    answers : int
+        Number of answers in the mean.
+    """
 
     confidence: float = 0.5
     answers: int = 0
