--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -2,9 +2,10 @@
 
 Guards against one request that crashes many workers: nine engines ended within seconds,
 again and again, and 22 of these ends were due to one request. Each try went to three
-engines one after the other, broke a dozen other streams at them, and was repeated at
-another box that did not know of it. A box remembered nothing of a request beyond the
-current try, so the boxes' logs showed the same content dispatched after each end.
+engines one after the other, broke a dozen other streams at them, and was followed by
+another try at a box that did not know of it. A box remembered nothing of a request
+beyond the current try, so the boxes' logs showed the same content dispatched after each
+end.
 """
 
 import asyncio
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Reports of silent workers: two boxes must agree, and each forgets on its own."""
+"""Reports of silent workers: two boxes must agree, and reports expire at each box."""
 
 import random
 
--- a/tests/test_throttling.py
+++ b/tests/test_throttling.py
@@ -62,7 +62,7 @@
 def limited_worker(
     per_s: float = 1.7, at_s: float = 1.0, boxes: int = 1
 ) -> tuple[Fleet, WorkerRow]:
-    """Return the tables of a box with a worker that named a rate limit."""
+    """Return the tables of a box with a worker that announced a rate limit."""
     fleet = make_box("box-1", boxes)
     row = fleet.workers.rows[WorkerId("w-1")]
     apply_limit(fleet, row, rate_limit(per_s, at_s), ms(at_s))
@@ -118,10 +118,10 @@
     logger.remove(sink)
 
 
-# Guards against boxes that ignore the limit that an overloaded worker names.
+# Guards against boxes that ignore the limit that an overloaded worker announces.
 @pytest.mark.parametrize("boxes", [1, 6, 61])
 @pytest.mark.parametrize("need", list(Need), ids=lambda need: need.name.lower())
-def test_worker_gets_no_more_than_the_rate_that_it_named(need, boxes):
+def test_worker_gets_no_more_than_the_rate_that_it_announced(need, boxes):
     outcome = play_limits(need, boxes, seed=1)
     assert outcome.over <= 0, outcome
     assert not outcome.broken
