--- a/bench/play_fleet.py
+++ b/bench/play_fleet.py
@@ -125,7 +125,7 @@
         """Take that nothing more comes."""
 
 
-class PlayTalks:
+class PlayStreams:
     """Exchanges of one box with its peers, as far as the play lets them through."""
 
     def __init__(self, play: "Play", box: str) -> None:
@@ -135,7 +135,7 @@
     def stop(self) -> None:
         """Nothing is open."""
 
-    def keep(self, addresses: t.Collection[str]) -> None:
+    def close_others(self, addresses: t.Collection[str]) -> None:
         """Nothing is open."""
 
     async def exchange(
@@ -151,7 +151,7 @@
             await asyncio.sleep(timeout)
             return Err(PeerFault("no answer"))
         await asyncio.sleep(PEER_MS / 1_000)
-        return Ok(await peer.exchange.hear(told))
+        return Ok(await peer.exchange.answer_news(told))
 
 
 class PlayBox:
@@ -189,8 +189,8 @@
             rng,
             lambda: None,
             seeds,
-            t.cast(t.Any, PlayTalks(play, name)),
-            on_kept=partial(keep_back, self.core),
+            t.cast(t.Any, PlayStreams(play, name)),
+            on_quarantined=partial(keep_back, self.core),
         )
         store = t.cast(t.Any, self.store)
         reader = StoreReader(self.fleet, clock, store)
@@ -211,7 +211,7 @@
         self._jobs.forever(self.operator_records.follow)
         self._jobs.forever(self.worker_list.follow)
         self._jobs.forever(self.box_list.follow)
-        self._jobs.every(EXCHANGE_MS, self.exchange.round)
+        self._jobs.every(EXCHANGE_MS, self.exchange.run_round)
         self._jobs.every(JUDGE_MS, self.recorder.tick)
         self._jobs.every(RECORD_MS, self.kept_back.tick)
 
--- a/src/spanshunt/catalog_fetcher.py
+++ b/src/spanshunt/catalog_fetcher.py
@@ -20,9 +20,9 @@
 from .ids import BoxId
 from .ids import Millis
 from .logs import log_event
-from .peers.news import CatalogAsk
-from .peers.news import CatalogTold
-from .peers.news import ask_catalog
+from .peers.news import FetchCatalogReply
+from .peers.news import FetchCatalogRequest
+from .peers.news import fetch_catalog
 from .peers.packing import unpack
 from .peers.unary import Channels
 from .peers.unary import PeerFault
@@ -105,14 +105,14 @@
             for fetch in under_way:
                 fetch.cancel()
 
-    async def tell(self, ask: CatalogAsk) -> CatalogTold:
+    async def tell(self, ask: FetchCatalogRequest) -> FetchCatalogReply:
         """Give this box's catalog to a peer, unless enough others get it already."""
         fleet = self._fleet
         known = fleet.catalog_version
         if known <= ask.version or self._serves_enough():
-            return CatalogTold(known)
+            return FetchCatalogReply(known)
         self._served.append(self._clock.now())
-        return CatalogTold(known, fleet.catalog_packed)
+        return FetchCatalogReply(known, fleet.catalog_packed)
 
     def _serves_enough(self) -> bool:
         if len(self._served) < SERVED_MOST:
@@ -140,7 +140,7 @@
         mine = fleet.catalog_version
         began = self._clock.now()
         self._tried.add(peer.box)
-        told = await self._ask(peer, CatalogAsk(fleet.identity.box, mine))
+        told = await self._ask(peer, FetchCatalogRequest(fleet.identity.box, mine))
         if isinstance(told, Err):
             self._note_failed(peer, told.err_value.detail)
             return False
@@ -165,12 +165,12 @@
         )
 
     async def _ask(
-        self, peer: PeerRow, ask: CatalogAsk
-    ) -> Result[CatalogTold, PeerFault]:
+        self, peer: PeerRow, ask: FetchCatalogRequest
+    ) -> Result[FetchCatalogReply, PeerFault]:
         """Ask on a connection of its own: one that was kept may be dead by now."""
         channels = Channels()
         try:
-            return await ask_catalog(channels, peer.address, ask, FETCH_S)
+            return await fetch_catalog(channels, peer.address, ask, FETCH_S)
         finally:
             channels.stop()
 
--- a/src/spanshunt/engine_news.py
+++ b/src/spanshunt/engine_news.py
@@ -20,10 +20,10 @@
             merge_decode_speed(fleet, told.service, told.model, told.gap_ms)
     for row in fleet.workers.rows.values():
         row.peer_prefill_ms.pop(news.box, None)
-    for waiting in news.readings:
+    for waiting in news.pending_prefills:
         reading = fleet.workers.rows.get(waiting.worker)
         if reading is not None:
-            reading.peer_prefill_ms[news.box] = (float(waiting.reading_ms), now)
-    for read in news.reads:
-        shared = tuple(PromptPart(*part) for part in read.shared)
+            reading.peer_prefill_ms[news.box] = (float(waiting.prefill_ms), now)
+    for read in news.recent_prefills:
+        shared = tuple(PromptPart(*part) for part in read.shared_parts)
         apply_peer_prefill(fleet, RecentPrefill(read.worker, read.model, shared, now))
--- a/src/spanshunt/exchange.py
+++ b/src/spanshunt/exchange.py
@@ -1,4 +1,8 @@
-"""Exchanges of news between boxes: whom to ask, what to tell, what to take in."""
+"""Gossip between boxes: which peers to call, what to send them, and how to apply it.
+
+Each message is one `News`, the state that a box shares with its peers. A call sends the
+news of this box and returns those of the peer.
+"""
 
 import asyncio
 import random
@@ -12,28 +16,28 @@
 from .ids import Millis
 from .ids import Offset
 from .logs import log_event
-from .peers.news import AgainstNews
 from .peers.news import News
 from .peers.news import PeerNews
 from .peers.news import RolloutNews
 from .peers.news import SilenceNews
-from .peers.news import news_talks
+from .peers.news import SuspicionNews
+from .peers.news import news_streams
 from .peers.news_rows import evacuations_news
-from .peers.news_rows import leavings_news
+from .peers.news_rows import leaving_news
 from .peers.news_rows import limits_news
-from .peers.news_rows import listed
-from .peers.news_rows import readings_news
-from .peers.news_rows import reads_news
+from .peers.news_rows import merge_tally_group
+from .peers.news_rows import pending_prefills_news
+from .peers.news_rows import recent_prefills_news
 from .peers.news_rows import rollout_news
 from .peers.news_rows import speeds_news
 from .peers.news_rows import suspects_news
-from .peers.news_rows import take_group
-from .peers.news_rows import told_against
-from .peers.news_rows import told_evacuation
-from .peers.news_rows import told_suspect
+from .peers.news_rows import to_evacuation_row
+from .peers.news_rows import to_listed_worker
+from .peers.news_rows import to_recorded_suspicion
+from .peers.news_rows import to_suspect_request
 from .peers.news_rows import workers_news
 from .peers.partners import Partners
-from .peers.talks import Talks
+from .peers.talks import PeerStreams
 from .platform_lines import log_evacuation
 from .platform_lines import log_newer_catalog
 from .platform_lines import log_older_store
@@ -73,40 +77,42 @@
 from .worker_notices import take_leaving_news
 from .worker_notices import take_limit_news
 
-NEAR_ASKED, FAR_ASKED = 1, 1
-"""Peers of this and of other failure domains asked in a round, beside the box that
-reads the workers' list: bytes between domains are priced, and news pass on within a
-domain."""
+SAME_DOMAIN_CALLS, OTHER_DOMAIN_CALLS = 1, 1
+"""Number of peers of this and of other failure domains that a box calls in a round, in
+addition to the box that reads the workers' list. Few calls go to other domains, as
+traffic between domains costs money and news spread within a domain anyway."""
 
-FAR_CALLERS = 5
-"""Boxes of a failure domain, beside the reader, that ask one of another in a round,
-about: what crosses between domains does not grow with the boxes there, and each domain
-hears from others thirty times a second."""
+CROSS_DOMAIN_CALLERS = 5
+"""Mean number of boxes of a failure domain, in addition to the reader of the workers'
+list, that call a peer of another domain in a round. Traffic between domains then does
+not grow with the number of boxes, and each domain hears from others thirty times a
+second."""
 
 TIMEOUT_S = 0.8
-"""How long a peer may take, in s: a slowed box still answers in a few tenths."""
+"""Timeout of a call to a peer, in s: a slow box still answers in a few tenths."""
 
-SPREAD_MOST = 4
-"""Peers told at once of what can't wait for the next round, by each box that learns of
-it: a hundred boxes know within four calls one after the other."""
+MAX_PUSH_PEERS = 4
+"""Maximum number of peers that a box calls at once with news that can't wait for the
+next round. Each box that learns of them does the same, so a hundred boxes know after
+four successive calls."""
 
-PEERS_TOLD = 8
-"""Other boxes named in one exchange."""
+MAX_PEERS_SENT = 8
+"""Maximum number of other boxes named in one message."""
 
-NEWCOMER_TOLD = 64
-"""Those named to a box of this failure domain that knows less than half as many: some 3
-KB. It then need not read the list of boxes, and sends cold workers no more than its
-part from its first second on."""
+MAX_PEERS_SENT_TO_NEW = 64
+"""The same for a peer of this failure domain that knows less than half as many boxes:
+about 3 KB. The peer then need not read the list of boxes, and sends cold workers no
+more than its share from its first second on."""
 
 BACK_OFF_MS = 1_000
-"""How long a peer that did not answer is left alone, times its failures, in ms."""
+"""Back-off after a failed call to a peer, for each failure in a row, in ms."""
 
-BACK_OFF_MOST = 10
-"""Failures that lengthen that wait at most."""
+MAX_BACK_OFF_FAILURES = 10
+"""Maximum number of failures that lengthen the back-off."""
 
 
 class Exchange:
-    """Exchanges news with peers.
+    """Exchanges news with peers and applies theirs to the tables.
 
     Parameters
     ----------
@@ -115,17 +121,17 @@
     clock : Clock
         The source of time.
     rng : random.Random
-        Draws the peers to ask.
-    on_newer : callable
+        Random generator that draws the peers to call.
+    on_newer_catalog : callable
         Called when a peer knows a newer catalog than this box.
     seeds : tuple of str
-        Addresses to ask while no box is known.
-    talks : Talks or None
-        The way to peers; None for the usual one.
-    on_kept : callable
-        Called with a content that is kept back from now on, and who told of it.
+        Addresses to call until a peer was heard.
+    streams : PeerStreams or None
+        Client of the exchanges; None for a new one.
+    on_quarantined : callable
+        Called with a content that is newly quarantined, and the box that reported it.
     on_ended : callable
-        Called with a worker that has ended, as a told list shows.
+        Called with a worker that has ended, as a received list shows.
     """
 
     def __init__(
@@ -133,69 +139,74 @@
         fleet: Fleet,
         clock: Clock,
         rng: random.Random,
-        on_newer: t.Callable[[], None],
+        on_newer_catalog: t.Callable[[], None],
         seeds: tuple[str, ...],
-        talks: Talks[News] | None = None,
-        on_kept: t.Callable[[SuspectRequest, str], None] = lambda _row, _source: None,
+        streams: PeerStreams[News] | None = None,
+        on_quarantined: t.Callable[
+            [SuspectRequest, str], None
+        ] = lambda _row, _source: None,
         on_ended: t.Callable[[WorkerRow], None] = lambda _row: None,
     ) -> None:
         self._fleet = fleet
         self._clock = clock
         self._rng = rng
-        self._on_newer = on_newer
+        self._on_newer_catalog = on_newer_catalog
         self._seeds = seeds
-        self._talks = talks or news_talks()
-        self._near = Partners(rng)
-        self._far = Partners(rng)
-        self._on_kept = on_kept
+        self._streams = streams or news_streams()
+        self._same_domain_partners = Partners(rng)
+        self._other_domain_partners = Partners(rng)
+        self._on_quarantined = on_quarantined
         self._on_ended = on_ended
-        self._spreading: set[asyncio.Task[None]] = set()
+        self._push_tasks: set[asyncio.Task[None]] = set()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Set the addresses to ask while no box is known."""
+        """Set the addresses to call until a peer was heard."""
         self._seeds = seeds
 
     def stop(self) -> None:
-        """Close all streams."""
-        for task in self._spreading:
+        """Cancel the calls of `tell_now` and close all streams."""
+        for task in self._push_tasks:
             task.cancel()
-        self._talks.stop()
+        self._streams.stop()
 
-    async def round(self) -> None:
-        """Ask a few peers at once."""
-        addresses = self._whom_to_ask()
-        await asyncio.gather(*(self._ask(address) for address in addresses))
+    async def run_round(self) -> None:
+        """Exchange news with a few peers concurrently."""
+        addresses = self._choose_addresses()
+        await asyncio.gather(*(self._call_peer(address) for address in addresses))
 
     def tell_now(self) -> None:
-        """Tell some peers at once, as they will tell others."""
-        task = asyncio.get_running_loop().create_task(self._spread())
-        self._spreading.add(task)
-        task.add_done_callback(self._spreading.discard)
+        """Send news to some peers now, in the background; they pass them on."""
+        task = asyncio.get_running_loop().create_task(self._push_news())
+        self._push_tasks.add(task)
+        task.add_done_callback(self._push_tasks.discard)
 
-    async def _spread(self) -> None:
+    async def _push_news(self) -> None:
         now = self._clock.now()
         ready = [peer for peer in self._fleet.peers.values() if _is_due(peer, now)]
-        asked = self._rng.sample(ready, min(SPREAD_MOST, len(ready)))
-        await asyncio.gather(*(self._ask(peer.address) for peer in asked))
+        called = self._rng.sample(ready, min(MAX_PUSH_PEERS, len(ready)))
+        await asyncio.gather(*(self._call_peer(peer.address) for peer in called))
 
-    async def hear(self, news: News) -> News:
-        """Take a peer's news in and answer with this box's."""
-        self.take(news)
-        return self.news_for(news, news.domain)
+    async def answer_news(self, news: News) -> News:
+        """Apply a peer's news and return this box's news for that peer."""
+        self.apply_news(news)
+        return self.build_news(news, news.domain)
 
-    def news_for(self, asker: News | None, domain: DomainId | None = None) -> News:
-        """Return what to tell a box that told this; None before it has told.
+    def build_news(
+        self, peer_news: News | None, domain: DomainId | None = None
+    ) -> News:
+        """Return the news to send to a peer.
 
-        `domain` is the hearer's failure domain, None where that is not known.
+        `peer_news` is the message to answer; None for a call. `domain` is the failure
+        domain of the receiver; None if it is unknown.
         """
         fleet = self._fleet
         now = self._clock.now()
-        readings = fleet.list_read_streak
+        streak = fleet.list_read_streak
         digest = list_digest(fleet)
         wants_list = (
-            asker is not None
-            and asker.workers_digest != digest
-            and asker.workers_end < fleet.workers_end
+            peer_news is not None
+            and peer_news.workers_digest != digest
+            and peer_news.workers_end < fleet.workers_end
         )
         return News(
             box=fleet.identity.box,
@@ -205,30 +216,32 @@
             catalog_version=fleet.catalog_version,
             workers_end=fleet.workers_end,
             workers_age_ms=max(0, now - fleet.workers_read_at),
-            read_age_ms=max(0, now - readings.last) if readings.last >= 0 else -1,
-            read_unbroken_ms=readings.last - readings.since,
+            list_read_age_ms=max(0, now - streak.last) if streak.last >= 0 else -1,
+            list_unbroken_ms=streak.last - streak.since,
             served=is_served_by_store(fleet, now),
-            silences=tuple(
+            silence_reports=tuple(
                 SilenceNews(item.worker, item.box, now - item.at)
                 for item in newest_silence_reports(fleet, now)
             ),
             speeds=speeds_news(fleet),
-            readings=readings_news(fleet),
-            reads=reads_news(fleet, now),
-            suspects=suspects_news(
-                fleet, now, asker.kept_digest if asker is not None else None
+            pending_prefills=pending_prefills_news(fleet),
+            recent_prefills=recent_prefills_news(fleet, now),
+            suspect_requests=suspects_news(
+                fleet,
+                now,
+                peer_news.quarantined_digest if peer_news is not None else None,
             ),
-            kept_digest=quarantine_digest(fleet),
-            kept_known=fleet.quarantine_known,
+            quarantined_digest=quarantine_digest(fleet),
+            quarantine_known=fleet.quarantine_known,
             followers=followers_to_announce(fleet, now)
             if domain == fleet.identity.domain
             else (),
             limits=limits_news(fleet, now),
-            leavings=leavings_news(fleet, now),
+            leaving_notices=leaving_news(fleet, now),
             evacuations=evacuations_news(fleet),
             boxes=box_count(fleet),
             store_era=fleet.store.era,
-            told_at=now,
+            sent_at=now,
             proof_age_ms=proof_age(fleet, now),
             proof_end=fleet.catalog_proof.end,
             proof_by=fleet.catalog_proof.source,
@@ -242,22 +255,23 @@
                 rollout_news(fleet, row, now, domain)
                 for row in fleet.rollouts.rows.values()
             ),
-            peers=self._names_for(asker) if asker is not None else (),
+            peers=self._sample_peers(peer_news) if peer_news is not None else (),
         )
 
-    def _names_for(self, asker: News) -> tuple[PeerNews, ...]:
-        """Return some boxes to tell an asker of; many if it knows few of them."""
+    def _sample_peers(self, peer_news: News) -> tuple[PeerNews, ...]:
+        """Return some known boxes for a peer; more of them if it knows few boxes."""
         peers = list(self._fleet.peers.values())
-        near = asker.domain == self._fleet.identity.domain
-        new = near and 2 * asker.boxes < len(peers)
-        most = NEWCOMER_TOLD if new else PEERS_TOLD
-        told = self._rng.sample(peers, min(most, len(peers)))
-        return tuple(PeerNews(peer.box, peer.address, peer.domain) for peer in told)
+        same_domain = peer_news.domain == self._fleet.identity.domain
+        is_new = same_domain and 2 * peer_news.boxes < len(peers)
+        max_sent = MAX_PEERS_SENT_TO_NEW if is_new else MAX_PEERS_SENT
+        sent = self._rng.sample(peers, min(max_sent, len(peers)))
+        return tuple(PeerNews(peer.box, peer.address, peer.domain) for peer in sent)
 
-    def take(self, news: News, asked_at: Millis | None = None) -> None:
-        """Take in what is newer than what this box knows.
+    def apply_news(self, news: News, called_at: Millis | None = None) -> None:
+        """Apply what is newer in a peer's news than in this box's tables.
 
-        `asked_at` is when the peer was asked, for an answer, in ms.
+        `called_at` is when this box called the peer, in ms, if the news are the answer
+        to that call.
         """
         now = self._clock.now()
         fleet = self._fleet
@@ -266,87 +280,90 @@
         fleet.wake_hold_until = Millis(0)
         if record_era(fleet, news.store_era, now):
             log_older_store(fleet, news.box)
-        told_before = newest_reported_version(fleet)
-        self._take_peers(news, now)
-        told_at = self._told_at(news, asked_at)
-        self._take_proof(news, told_at)
+        reported_before = newest_reported_version(fleet)
+        self._record_peers(news, now)
+        sent_at = self._sent_at(news, called_at)
+        self._merge_proof(news, sent_at)
         if news.catalog_version > fleet.catalog_version:
-            if news.catalog_version > told_before:
+            if news.catalog_version > reported_before:
                 log_newer_catalog(fleet, news.box, news.catalog_version, now)
-            self._on_newer()
-        self._take_workers(news, told_at, now)
-        for order in news.rollouts:
-            self._take_rollout(news, order, now)
-        for word in news.evacuations:
-            if apply_evacuation(fleet, told_evacuation(word), now):
-                log_evacuation(fleet, word.domain, news.box)
-        for told in news.silences:
-            self._take_silence(news, told, now)
-        for item in news.suspects:
-            suspect = told_suspect(item, now)
+            self._on_newer_catalog()
+        self._apply_workers(news, sent_at, now)
+        for rollout in news.rollouts:
+            self._merge_rollout(news, rollout, now)
+        for evacuation in news.evacuations:
+            if apply_evacuation(fleet, to_evacuation_row(evacuation), now):
+                log_evacuation(fleet, evacuation.domain, news.box)
+        for report in news.silence_reports:
+            self._record_silence(news, report, now)
+        for item in news.suspect_requests:
+            suspect = to_suspect_request(item, now)
             suspect.recorded &= news.store_era >= fleet.store.era
             row = merge_suspect(fleet, suspect, now)
             if update_quarantine(fleet, row, now):
-                self._on_kept(row, news.box)
-        if news.kept_known and news.kept_digest == quarantine_digest(fleet):
+                self._on_quarantined(row, news.box)
+        if news.quarantine_known and news.quarantined_digest == quarantine_digest(
+            fleet
+        ):
             fleet.quarantine_known = True
         take_engine_news(fleet, news, now)
-        take_limit_news(fleet, news, told_at, now)
-        take_leaving_news(fleet, news, told_at, now)
+        take_limit_news(fleet, news, sent_at, now)
+        take_leaving_news(fleet, news, sent_at, now)
 
-    def _told_at(self, news: News, asked_at: Millis | None) -> Millis | None:
-        """Return when a peer told this at the earliest, by this box's clock.
+    def _sent_at(self, news: News, called_at: Millis | None) -> Millis | None:
+        """Return the earliest time at which a peer sent its news, by this box's clock.
 
-        A message may have been held up on its way for any time, as by a link that comes
-        back. Its clock is ahead of this box's by as much as an answer's time lies
-        behind its question at most; None until it has answered one.
+        A message may be delayed for any time, for example by a link that was down. The
+        peer's clock is ahead of this box's by at most the difference between the time
+        in an answer and the time of the call. The result is None until the peer has
+        answered a call.
         """
         row = self._fleet.peers[news.box]
-        if asked_at is not None and news.told_at >= 0:
-            row.clock_ahead = news.told_at - asked_at
-        if row.clock_ahead is None or news.told_at < 0:
+        if called_at is not None and news.sent_at >= 0:
+            row.clock_ahead = news.sent_at - called_at
+        if row.clock_ahead is None or news.sent_at < 0:
             return None
-        return Millis(news.told_at - row.clock_ahead)
+        return Millis(news.sent_at - row.clock_ahead)
 
-    def _take_proof(self, news: News, told_at: Millis | None) -> None:
-        """Take in how old the peer's proof is that its catalog is the newest."""
-        if told_at is None or news.proof_age_ms < 0:
+    def _merge_proof(self, news: News, sent_at: Millis | None) -> None:
+        """Merge the peer's proof that its catalog is the newest."""
+        if sent_at is None or news.proof_age_ms < 0:
             return
-        at = Millis(told_at - news.proof_age_ms)
-        told = CatalogProof(at, Offset(news.proof_end), news.proof_by)
-        merge_peer_proof(self._fleet, news.catalog_version, told)
+        at = Millis(sent_at - news.proof_age_ms)
+        proof = CatalogProof(at, Offset(news.proof_end), news.proof_by)
+        merge_peer_proof(self._fleet, news.catalog_version, proof)
 
-    def _take_workers(self, news: News, told_at: Millis | None, now: Millis) -> None:
-        """Take in a newer list, or that this box's is as new as the teller's."""
+    def _apply_workers(self, news: News, sent_at: Millis | None, now: Millis) -> None:
+        """Apply a newer list, or record that this box's equal list is as new."""
         fleet = self._fleet
-        if news.read_age_ms >= 0 and told_at is not None:
-            last = Millis(told_at - news.read_age_ms)
-            record_list_read(fleet, last, Millis(last - news.read_unbroken_ms))
+        if news.list_read_age_ms >= 0 and sent_at is not None:
+            last = Millis(sent_at - news.list_read_age_ms)
+            record_list_read(fleet, last, Millis(last - news.list_unbroken_ms))
         if news.workers_end < fleet.workers_end or not news.workers_digest:
             return
         read_at = fleet.workers_read_at
-        if told_at is not None:
-            read_at = Millis(told_at - news.workers_age_ms)
+        if sent_at is not None:
+            read_at = Millis(sent_at - news.workers_age_ms)
         if news.workers:
-            rows = [listed(item) for item in news.workers]
+            rows = [to_listed_worker(item) for item in news.workers]
             change = apply_worker_list(fleet, rows, Offset(news.workers_end), now)
             fleet.workers_read_at = max(fleet.workers_read_at, read_at)
             for row in change.replaced:
                 self._on_ended(row)
             if not change.empty:
-                log_event("INFO", "workers", source=news.box, **_shown(change))
+                log_event("INFO", "workers", source=news.box, **_log_fields(change))
         elif news.workers_digest == list_digest(fleet):
             fleet.workers_end = Offset(news.workers_end)
             fleet.workers_read_at = max(fleet.workers_read_at, read_at)
 
-    def _take_peers(self, news: News, now: Millis) -> None:
+    def _record_peers(self, news: News, now: Millis) -> None:
         peers = self._fleet.peers
         self._fleet.reported_box_count = max(self._fleet.reported_box_count, news.boxes)
         row = peers.get(news.box)
         if row is None:
             row = peers[news.box] = PeerRow(news.box, news.address)
         if row.incarnation != news.incarnation:
-            # Another run may have another clock.
+            # The clock may differ in another run of the peer.
             row.clock_ahead = None
         row.address, row.incarnation = news.address, news.incarnation
         row.domain, row.served = news.domain, news.served
@@ -363,31 +380,31 @@
             if item.box != self._fleet.identity.box and item.box not in peers:
                 peers[item.box] = PeerRow(item.box, item.address, item.domain)
 
-    def _take_silence(self, news: News, told: SilenceNews, now: Millis) -> None:
-        fleet, worker = self._fleet, told.worker
-        silence = SilenceReport(worker, told.box, Millis(now - told.age_ms))
-        known = is_silent(fleet, worker, now)
-        if told.box == fleet.identity.box or not record_silence(fleet, silence, now):
+    def _record_silence(self, news: News, item: SilenceNews, now: Millis) -> None:
+        fleet, worker = self._fleet, item.worker
+        report = SilenceReport(worker, item.box, Millis(now - item.age_ms))
+        was_silent = is_silent(fleet, worker, now)
+        if item.box == fleet.identity.box or not record_silence(fleet, report, now):
             return
-        if not known and is_silent(fleet, worker, now):
+        if not was_silent and is_silent(fleet, worker, now):
             log_event(
                 "INFO",
-                "worker told silent",
+                "worker reported silent",
                 worker=worker,
                 by=sorted(fleet.silence_reports[worker]),
-                age_ms=told.age_ms,
+                age_ms=item.age_ms,
                 source=news.box,
             )
 
-    def _take_rollout(self, news: News, item: RolloutNews, now: Millis) -> None:
+    def _merge_rollout(self, news: News, item: RolloutNews, now: Millis) -> None:
         fleet = self._fleet
         began = Millis(now - item.age_ms)
         order = Offset(item.order)
         duration = Millis(item.duration_ms)
-        new = apply_order(
+        is_new = apply_order(
             fleet, item.service, item.version, order, duration, began, seen=item.seen
         )
-        if new:
+        if is_new:
             log_order(fleet.rollouts.rows[item.service], now, news.box)
         row = fleet.rollouts.rows[item.service]
         if row.order != order:
@@ -395,47 +412,57 @@
         bar_versions(row, item.barred)
         row.extra = max(row.extra, item.extra)
         row.full_from_ms = max(row.full_from_ms, item.full_from_ms)
-        if item.turned_bad and not row.turned_bad_reason:
-            row.turned_bad_reason = item.turned_bad
+        if item.turned_bad_reason and not row.turned_bad_reason:
+            row.turned_bad_reason = item.turned_bad_reason
             log_turned_bad(row, news.box)
         verdict, reason = Verdict(item.verdict), item.reason
-        # Who does not know yet that the store came back older tells what stood before.
-        stands = news.store_era >= fleet.store.era
-        row.announced |= item.announced and stands
-        if item.against is not None and stands:
-            _take_against(row, item.against)
-        recorded = item.recorded and stands
+        # A peer that does not know yet that the store was restored from a copy may
+        # report records that the store has lost.
+        is_current = news.store_era >= fleet.store.era
+        row.announced |= item.announced and is_current
+        if item.recorded_suspicion is not None and is_current:
+            _merge_suspicion(row, item.recorded_suspicion)
+        recorded = item.recorded and is_current
         if apply_verdict(row, verdict, reason, now, recorded=recorded):
             log_verdict(row, news.box)
         for group in item.groups:
-            take_group(fleet, row, group)
+            merge_tally_group(fleet, row, group)
 
-    def _whom_to_ask(self) -> list[str]:
+    def _choose_addresses(self) -> list[str]:
         fleet, now = self._fleet, self._clock.now()
         peers = list(fleet.peers.values())
         if not any(peer.heard >= 0 for peer in peers):
             known = {peer.address for peer in peers} | {fleet.identity.address}
             unknown = [seed for seed in self._seeds if seed not in known]
-            return unknown + [peer.address for peer in peers][:PEERS_TOLD]
+            return unknown + [peer.address for peer in peers][:MAX_PEERS_SENT]
         ready = [peer for peer in peers if _is_due(peer, now)]
         reader = find_list_reader(fleet, now)
         near = [peer for peer in ready if peer.domain == fleet.identity.domain]
         far = [peer for peer in ready if peer.domain != fleet.identity.domain]
-        # One before the reader by name is it, if it lives: a box that starts finds the
-        # same one as the others of its domain within a round or two. One that did not
-        # answer is not asked for this again: each round waits for all that it asks.
-        ahead = [p for p in near if p.box < reader and not p.failures]
-        asked = sorted(ahead, key=lambda peer: peer.box)[:1]
-        asked += [peer for peer in near if peer.box == reader]
-        asked += self._near.draw(near, NEAR_ASKED, now)
-        # All of its domain ask the reader: what it hears from others they know at once.
-        if reader == fleet.identity.box or self._rng.random() * len(near) < FAR_CALLERS:
-            asked += self._far.draw(far, FAR_ASKED, now)
-        kept = {peer.box for peer in asked} | self._near.boxes | self._far.boxes
-        self._talks.keep({fleet.peers[box].address for box in kept})
-        return list({peer.address: None for peer in asked})
-
-    async def _ask(self, address: str) -> None:
+        # A peer whose name sorts before the reader's is the actual reader if it is
+        # live. Calling it lets a box that starts agree with the others of its domain on
+        # the reader within a round or two. A peer that did not answer is not called for
+        # this again, as a round waits for all its calls.
+        preceding = [p for p in near if p.box < reader and not p.failures]
+        called = sorted(preceding, key=lambda peer: peer.box)[:1]
+        called += [peer for peer in near if peer.box == reader]
+        called += self._same_domain_partners.draw(near, SAME_DOMAIN_CALLS, now)
+        # All boxes of a domain call its reader and get its news at once, so the reader
+        # always calls a peer of another domain.
+        if (
+            reader == fleet.identity.box
+            or self._rng.random() * len(near) < CROSS_DOMAIN_CALLERS
+        ):
+            called += self._other_domain_partners.draw(far, OTHER_DOMAIN_CALLS, now)
+        kept = (
+            {peer.box for peer in called}
+            | self._same_domain_partners.boxes
+            | self._other_domain_partners.boxes
+        )
+        self._streams.close_others({fleet.peers[box].address for box in kept})
+        return list({peer.address: None for peer in called})
+
+    async def _call_peer(self, address: str) -> None:
         row = next(
             (peer for peer in self._fleet.peers.values() if peer.address == address),
             None,
@@ -443,35 +470,35 @@
         if row is not None:
             row.asked = self._clock.now()
         domain = row.domain if row is not None and row.domain else None
-        asked_at = self._clock.now()
-        news = self.news_for(None, domain)
-        told = await self._talks.exchange(address, news, TIMEOUT_S)
-        if isinstance(told, Err):
+        called_at = self._clock.now()
+        news = self.build_news(None, domain)
+        reply = await self._streams.exchange(address, news, TIMEOUT_S)
+        if isinstance(reply, Err):
             if row is not None:
                 row.failures += 1
                 if row.failures == 1:
-                    detail = told.err_value.detail
+                    detail = reply.err_value.detail
                     log_event("WARNING", "peer lost", peer=row.box, detail=detail)
             return
         if row is not None and row.failures:
             log_event("INFO", "peer regained", peer=row.box, failures=row.failures)
-        self.take(told.ok_value, asked_at)
+        self.apply_news(reply.ok_value, called_at)
 
 
-def _take_against(row: RolloutRow, item: AgainstNews) -> None:
-    """Take in the suspicion that is recorded: the strongest one is the newest."""
-    told = told_against(item)
+def _merge_suspicion(row: RolloutRow, item: SuspicionNews) -> None:
+    """Apply a recorded suspicion if it is stronger, hence newer, than the known one."""
+    received = to_recorded_suspicion(item)
     if (
         row.recorded_suspicion is None
-        or told.log_evidence > row.recorded_suspicion.log_evidence
+        or received.log_evidence > row.recorded_suspicion.log_evidence
     ):
-        row.recorded_suspicion = told
+        row.recorded_suspicion = received
 
 
 def _is_due(peer: PeerRow, now: Millis) -> bool:
-    """Tell whether a peer may be called, after the failures since it answered."""
-    return now >= peer.asked + BACK_OFF_MS * min(peer.failures, BACK_OFF_MOST)
+    """Return whether the back-off after failed calls to a peer is over."""
+    return now >= peer.asked + BACK_OFF_MS * min(peer.failures, MAX_BACK_OFF_FAILURES)
 
 
-def _shown(change: t.Any) -> dict[str, object]:
+def _log_fields(change: t.Any) -> dict[str, object]:
     return {name: list(getattr(change, name)) for name in ("came", "leaving", "gone")}
--- a/src/spanshunt/peers/client.py
+++ b/src/spanshunt/peers/client.py
@@ -18,23 +18,23 @@
 
 
 class PeerClient:
-    """Calls peers, over one channel for each address."""
+    """Client that calls peers, over one channel for each address."""
 
     def __init__(self) -> None:
         self._channels = Channels()
 
     async def exchange(
-        self, address: str, told: Exchange, timeout: float
+        self, address: str, message: Exchange, timeout: float
     ) -> Result[ExchangeAnswer, PeerFault]:
-        """Exchange news with a peer; `timeout` in seconds, as for all calls."""
+        """Exchange state with a peer; `timeout` is in seconds, as for all calls."""
         return await self._channels.call(
-            address, PREFIX + "Exchange", Exchange, ExchangeAnswer, told, timeout
+            address, PREFIX + "Exchange", Exchange, ExchangeAnswer, message, timeout
         )
 
     async def copy_bills(
         self, address: str, copy: CopyBillsRequest, timeout: float
     ) -> Result[CopyBillsReply, PeerFault]:
-        """Ask a peer to hold copies of bills."""
+        """Ask a peer to store copies of bills."""
         return await self._channels.call(
             address,
             PREFIX + "CopyBills",
@@ -47,7 +47,7 @@
     async def ask_call(
         self, address: str, ask: CallStatusRequest, timeout: float
     ) -> Result[CallStatusReply, PeerFault]:
-        """Ask the holder of a claim how far its call got."""
+        """Ask the holder of a claim for the status of its call."""
         return await self._channels.call(
             address,
             PREFIX + "AskCall",
@@ -60,7 +60,7 @@
     async def get_pin(
         self, address: str, pin: Pin, timeout: float
     ) -> Result[Pin, PeerFault]:
-        """Ask for a session's version."""
+        """Ask a peer for the version that a session is pinned to."""
         return await self._channels.call(
             address, PREFIX + "GetPin", Pin, Pin, pin, timeout
         )
@@ -68,7 +68,7 @@
     async def put_pin(
         self, address: str, pin: Pin, timeout: float
     ) -> Result[Pin, PeerFault]:
-        """Ask a peer to keep a session's version."""
+        """Ask a peer to store the version that a session is pinned to."""
         return await self._channels.call(
             address, PREFIX + "PutPin", Pin, Pin, pin, timeout
         )
@@ -76,7 +76,7 @@
     async def gather(
         self, address: str, part: AppendPartRequest, timeout: float
     ) -> Result[AppendPartReply, PeerFault]:
-        """Ask the gatherer of the failure domain to append a part of a batch."""
+        """Ask the gatherer of the failure domain to append a record in a batch."""
         return await self._channels.call(
             address,
             PREFIX + "Gather",
--- a/src/spanshunt/peers/codec.py
+++ b/src/spanshunt/peers/codec.py
@@ -1,4 +1,4 @@
-"""A msgpack codec for grpclib, so that the messages are plain typed structs."""
+"""Msgpack codec for grpclib."""
 
 import typing as t
 
@@ -7,17 +7,17 @@
 
 
 class MsgpackCodec(CodecBase):
-    """Encodes messages with msgspec; there is no generated code."""
+    """Codec for messages that are msgspec structs, so that no code is generated."""
 
     __content_subtype__ = "msgpack"
 
     def encode(self, message: t.Any, message_type: t.Any) -> bytes:
-        """Encode a message, checking its type."""
+        """Return an encoded message; raise `TypeError` if it has another type."""
         if not isinstance(message, message_type):
             msg = f"message must be {message_type!r}, not {type(message)!r}"
             raise TypeError(msg)
         return msgspec.msgpack.encode(message)
 
     def decode(self, data: bytes, message_type: t.Any) -> t.Any:
-        """Decode a message into its type."""
+        """Return a decoded message of the given type."""
         return msgspec.msgpack.decode(data, type=message_type)
--- a/src/spanshunt/peers/news.py
+++ b/src/spanshunt/peers/news.py
@@ -1,7 +1,9 @@
-"""What boxes tell each other on the platform: the newest of all that they follow.
+"""Messages of the gossip between boxes that route by the platform's catalog.
 
-A box that the store turns away learns from its peers what the store gave them. Each
-takes in only what is newer than its own, by version, offset or order.
+A box that the store does not serve learns the store's records from its peers. A
+receiver applies only what is newer than its own state, by version, offset or age.
+Structs are encoded as arrays, so the order of their fields is part of the protocol.
+Ages are by the sender's clock, at the time of sending.
 """
 
 import typing as t
@@ -19,8 +21,8 @@
 from ..ids import VersionId
 from ..ids import WorkerId
 from ..ids import WorkerIncarnation
-from .talks import Talks
-from .talks import talk_handler
+from .talks import PeerStreams
+from .talks import stream_handler
 from .unary import Channels
 from .unary import PeerFault
 from .unary import unary_handler
@@ -30,7 +32,7 @@
 
 
 class TallyNews(msgspec.Struct, frozen=True, array_like=True):
-    """Answers of one version on one route in one epoch, as the teller counted them."""
+    """Tally of one version on one route in one epoch, as in `Tally`."""
 
     route: str
     entering: bool
@@ -42,7 +44,7 @@
 
 
 class WorkerTallyNews(msgspec.Struct, frozen=True, array_like=True):
-    """Answers of one life of a worker since the order, as the teller counted them."""
+    """Tally of one run of a worker since the order, as in `Tally`."""
 
     worker: WorkerIncarnation
     entering: bool
@@ -53,7 +55,7 @@
 
 
 class TallyGroup(msgspec.Struct, frozen=True, array_like=True):
-    """The tallies of one source: a run of a box, or a whole failure domain.
+    """Tallies of one run of a box, or their sums over a failure domain.
 
     Attributes
     ----------
@@ -62,9 +64,9 @@
     box : str
         The run of the box; empty for the sum over the domain.
     tallies : tuple of TallyNews
-        The newest epochs, and some older ones in turn.
+        Tallies of the newest epochs and of some older ones, in rotation.
     workers : tuple of WorkerTallyNews
-        The workers that are counted by themselves.
+        Tallies by worker.
     """
 
     domain: DomainId
@@ -73,8 +75,8 @@
     workers: tuple[WorkerTallyNews, ...] = ()
 
 
-class AgainstNews(msgspec.Struct, frozen=True, array_like=True):
-    """A recorded suspicion against an entering version."""
+class SuspicionNews(msgspec.Struct, frozen=True, array_like=True):
+    """The suspicion against an entering version that the store has recorded."""
 
     route: str
     finding: str
@@ -83,35 +85,35 @@
 
 
 class RolloutNews(msgspec.Struct, frozen=True, array_like=True):
-    """An order as the teller knows it, and its own evidence.
+    """An order and its roll-out as the sender knows them, with the tallies.
 
     Attributes
     ----------
     service, version, order, duration_ms
         The order.
     age_ms : int
-        How long ago it began, by the teller's clock.
+        Time since the roll-out began, in ms.
     verdict, reason : str
-        How it ended, or ``running``.
+        Outcome and evidence for it; the verdict is ``running`` until there is one.
     recorded : bool
-        Whether the verdict stands in the platform's store.
+        Whether the verdict is recorded in the platform's store.
     groups : tuple of TallyGroup
-        The teller's own evidence and, for other domains, the sums that it knows.
+        Tallies of the sender's own failure domain, and sums of the others it knows.
     barred : tuple of str
-        Versions that were taken back before this order.
+        Versions that were rolled back before this order.
     extra : float
-        What the allowed number of requests adds to the share, as the teller knows it.
+        Share of requests in addition to the bound, as in `RolloutRow.extra`.
     seen : bool
-        Whether the age is that of a box that saw the order come.
+        Whether the age is from a box that saw the order arrive.
     full_from_ms : int
-        From which age of the order on all requests enter, in ms, where that was put
-        off; 0 while it was not.
-    turned_bad : str
-        The evidence that it turned bad after its success; empty for none.
+        Postponed age of the order from which all requests move to the version, in ms; 0
+        if it was not postponed.
+    turned_bad_reason : str
+        Evidence that the version turned bad after its success; empty for none.
     announced : bool
-        Whether it stands in the platform's store that the order runs.
-    against : AgainstNews or None
-        The suspicion that stands there.
+        Whether the start of the roll-out is recorded in the platform's store.
+    recorded_suspicion : SuspicionNews or None
+        The suspicion recorded there.
     """
 
     service: ServiceId
@@ -127,13 +129,17 @@
     extra: float = 0.0
     seen: bool = False
     full_from_ms: int = 0
-    turned_bad: str = ""
+    turned_bad_reason: str = ""
     announced: bool = False
-    against: AgainstNews | None = None
+    recorded_suspicion: SuspicionNews | None = None
 
 
 class WorkerNews(msgspec.Struct, frozen=True, array_like=True):
-    """A backend server's entry as the teller read it."""
+    """A backend server's entry in the workers' list, as the sender knows it.
+
+    ``born`` is when this run of the worker began, in ms since the Unix epoch, 0 if
+    unknown; ``cold_ms`` is how much longer it is cold, in ms.
+    """
 
     name: WorkerId
     address: str
@@ -147,7 +153,7 @@
 
 
 class SilenceNews(msgspec.Struct, frozen=True, array_like=True):
-    """A report that a worker was silent to a box, by the teller's clock."""
+    """A report that a worker was silent to a box, ``age_ms`` ago."""
 
     worker: WorkerId
     box: BoxId
@@ -155,9 +161,10 @@
 
 
 class SpeedNews(msgspec.Struct, frozen=True, array_like=True):
-    """How fast the engines of a service run a model, as the teller learned it.
+    """How fast the engines of a service run a model, as the sender estimates it.
 
-    ``gap_ms`` is the usual time from event to event; 0 while it knows none.
+    The times are those of `PrefillSpeed` and `DecodeSpeed`, in ms; ``gap_ms`` is 0
+    while it is unknown.
     """
 
     service: ServiceId
@@ -167,34 +174,34 @@
     gap_ms: float = 0.0
 
 
-class ReadingNews(msgspec.Struct, frozen=True, array_like=True):
-    """How long the teller's prompts take that wait at an engine, in ms."""
+class PendingPrefillNews(msgspec.Struct, frozen=True, array_like=True):
+    """Prefill time of the sender's prompts that wait at an engine, in ms."""
 
     worker: WorkerId
-    reading_ms: int
+    prefill_ms: int
 
 
-class ReadNews(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt that the teller sent to an engine, as its shared parts and tokens."""
+class RecentPrefillNews(msgspec.Struct, frozen=True, array_like=True):
+    """A prompt that the sender sent to an engine, as its shared parts and tokens."""
 
     worker: WorkerId
     model: ModelId
-    shared: tuple[tuple[str, int], ...]
+    shared_parts: tuple[tuple[str, int], ...]
 
 
 class LimitNews(msgspec.Struct, frozen=True, array_like=True):
-    """A worker's word on the rate that it takes from all boxes, as the teller knows it.
+    """The newest rate limit of a worker for all boxes, as the sender knows it.
 
     Attributes
     ----------
     worker, born
-        The worker, and when its life began.
+        The worker, and when this run of it began, in ms since the Unix epoch.
     per_s : float
-        Requests a second; -1 once it names no limit any more.
+        Requests a second; -1 once the worker names no limit any more.
     age_ms : int
-        How long ago it was heard.
+        Time since a box received it from the worker, in ms.
     source : str
-        The box that heard it.
+        The box that received it from the worker.
     """
 
     worker: WorkerId
@@ -205,7 +212,11 @@
 
 
 class LeavingNews(msgspec.Struct, frozen=True, array_like=True):
-    """That a life of a worker said it leaves, how long ago, and the box that heard."""
+    """A worker's own notice that it leaves.
+
+    ``born`` identifies the run of the worker. ``age_ms`` is the time since the box
+    ``source`` received the notice.
+    """
 
     worker: WorkerId
     born: int
@@ -214,33 +225,34 @@
 
 
 class SuspectNews(msgspec.Struct, frozen=True, array_like=True):
-    """A content under which workers ended, as the teller knows it.
+    """A request content suspected of crashing workers, as the sender knows it.
 
     Attributes
     ----------
     fingerprint, service, versions
-        The content, where it went, and what the workers ran that ended.
+        The content, its service, and the versions of the workers that ended.
     ends : tuple
-        Lives of workers that ended under it, and how long ago, in ms.
-    sound_age_ms : int
-        How long ago a worker outlived it, in ms; -1 for never.
-    kept_by : str
-        The first box by name that found it is to be kept back; empty for none.
+        Runs of workers that ended while processing it, and how long ago, in ms.
+    cleared_age_ms : int
+        Time since a worker last answered it completely and went on running, in ms; -1
+        for never.
+    quarantined_by : str
+        The first box by name that decided to quarantine it; empty for none.
     recorded : bool
-        Whether that stands in the platform's store.
+        Whether the quarantine is recorded in the platform's store.
     """
 
     fingerprint: Fingerprint
     service: ServiceId
     versions: tuple[VersionId, ...]
     ends: tuple[tuple[WorkerIncarnation, int], ...]
-    sound_age_ms: int
-    kept_by: BoxId
+    cleared_age_ms: int
+    quarantined_by: BoxId
     recorded: bool
 
 
 class EvacuationNews(msgspec.Struct, frozen=True, array_like=True):
-    """An operator's newest word on a failure domain: whether it is emptied now."""
+    """An operator's newest order whether a failure domain is evacuated."""
 
     domain: DomainId
     order: int
@@ -248,7 +260,7 @@
 
 
 class PeerNews(msgspec.Struct, frozen=True, array_like=True):
-    """A box and where its peers reach it."""
+    """A box, the address of its peer protocol, and its failure domain."""
 
     box: BoxId
     address: str
@@ -256,69 +268,71 @@
 
 
 class News(msgspec.Struct, frozen=True, array_like=True):
-    """All that one box tells another.
+    """Everything that one box sends to another.
 
     Attributes
     ----------
     box, address, domain, incarnation
-        Who tells.
+        The sender.
     catalog_version : int
-        The newest catalog that it knows; -1 for none.
+        The newest catalog version known to the sender; -1 for none.
     workers_end : int
-        How new its list of workers is.
+        End of the workers' stream at the sender's list of workers.
     workers_age_ms : int
-        How long ago that list was read from the store, by whoever read it.
+        Time since a box read that list from the store, in ms.
     workers_digest : int
-        Says whether two lists are alike; 0 for none.
+        Checksum that is equal for equal lists; 0 without a list.
     workers : tuple of WorkerNews
-        The list, for a box whose list differs.
+        The list, if the receiver's list differs and is older.
     rollouts : tuple of RolloutNews
-        The orders.
+        The orders and their roll-outs.
     peers : tuple of PeerNews
-        Some of the boxes it knows.
-    read_age_ms : int
-        How long ago any box that the teller hears of read the list; -1 for unknown.
-    read_unbroken_ms : int
-        For how long, up to then, the list was read without a gap.
+        Some of the boxes known to the sender.
+    list_read_age_ms : int
+        Time since the newest known read of the list by any box, in ms; -1 if unknown.
+    list_unbroken_ms : int
+        Time span up to that read without a gap between reads, in ms.
     served : bool
-        Whether the store serves the teller.
-    silences : tuple of SilenceNews
-        Workers that boxes found silent just now.
+        Whether the store serves the sender.
+    silence_reports : tuple of SilenceNews
+        Recent reports of silent workers.
     speeds : tuple of SpeedNews
-        How fast engines are.
-    readings : tuple of ReadingNews
-        What the teller has waiting at engines.
-    reads : tuple of ReadNews
-        The prompts that it sent to engines of late.
-    suspects, kept_digest
-        Contents under which workers ended, and what says whether two boxes keep back
-        the same ones.
-    kept_known : bool
-        Whether the teller knows those that the store has recorded.
+        Estimated speeds of engines.
+    pending_prefills : tuple of PendingPrefillNews
+        Prompts of the sender that wait at engines.
+    recent_prefills : tuple of RecentPrefillNews
+        Prompts that the sender recently sent to engines.
+    suspect_requests : tuple of SuspectNews
+        Contents suspected of crashing workers.
+    quarantined_digest : int
+        Checksum that is equal at boxes with the same quarantined contents.
+    quarantine_known : bool
+        Whether the sender knows the quarantined contents recorded in the store.
     followers : tuple of str
-        Who follows the operators' records in the teller's failure domain, where it is
-        the first by name there.
+        Boxes of the sender's failure domain that follow the operators' records, if the
+        sender is the first by name there; otherwise empty.
     limits : tuple of LimitNews
-        What workers said of the rates that they take, the newest.
-    leavings : tuple of LeavingNews
-        Workers whose answers say that they leave, and whose entries don't yet.
+        The newest rate limits of workers.
+    leaving_notices : tuple of LeavingNews
+        Notices of workers that leave although their entries do not say so yet.
     evacuations : tuple of EvacuationNews
-        Failure domains that operators emptied, or gave back.
+        The operators' newest evacuation orders.
     boxes : int
-        How many boxes the teller knows, itself among them.
+        Number of boxes known to the sender, including itself.
     store_era : int
-        How often the store came back from a copy, as the teller knows; -1 for unknown.
-    told_at : int
-        When this was told, in ms of the teller's clock; -1 for unknown.
+        How often the store was restored from a copy, as the sender knows; -1 if
+        unknown.
+    sent_at : int
+        When this was sent, in ms of the sender's clock; -1 if unknown.
     proof_age_ms, proof_end, proof_by
-        How old the teller's proof is that its catalog is the newest (-1 for none),
-        where the operators' stream ended then, and the box that read it.
+        Age of the proof that the sender's catalog is the newest, in ms (-1 for none),
+        the end of the operators' stream then, and the box that read it.
     settings_digest, settings_age_ms
-        Names the settings that the teller has in force ("" for untold), and for how
-        long, in ms.
+        Digest of the settings in force at the sender ("" if unknown), and since how
+        long they are, in ms.
     settings_refused, settings_waiting : bool
-        Whether its newest settings file is refused, and whether fields of it wait for
-        the teller's next start.
+        Whether the sender refused its newest settings file, and whether fields of it
+        take effect only at the next start.
     """
 
     box: BoxId
@@ -332,19 +346,19 @@
     workers: tuple[WorkerNews, ...] = ()
     rollouts: tuple[RolloutNews, ...] = ()
     peers: tuple[PeerNews, ...] = ()
-    read_age_ms: int = -1
-    read_unbroken_ms: int = 0
+    list_read_age_ms: int = -1
+    list_unbroken_ms: int = 0
     served: bool = True
-    silences: tuple[SilenceNews, ...] = ()
+    silence_reports: tuple[SilenceNews, ...] = ()
     speeds: tuple[SpeedNews, ...] = ()
-    readings: tuple[ReadingNews, ...] = ()
-    reads: tuple[ReadNews, ...] = ()
-    suspects: tuple[SuspectNews, ...] = ()
-    kept_digest: int = 0
+    pending_prefills: tuple[PendingPrefillNews, ...] = ()
+    recent_prefills: tuple[RecentPrefillNews, ...] = ()
+    suspect_requests: tuple[SuspectNews, ...] = ()
+    quarantined_digest: int = 0
     evacuations: tuple[EvacuationNews, ...] = ()
     boxes: int = 0
     store_era: int = -1
-    told_at: int = -1
+    sent_at: int = -1
     proof_age_ms: int = -1
     proof_end: int = -1
     proof_by: BoxId = BoxId("")
@@ -352,72 +366,78 @@
     settings_age_ms: int = 0
     settings_refused: bool = False
     settings_waiting: bool = False
-    kept_known: bool = False
+    quarantine_known: bool = False
     followers: tuple[BoxId, ...] = ()
     limits: tuple[LimitNews, ...] = ()
-    leavings: tuple[LeavingNews, ...] = ()
+    leaving_notices: tuple[LeavingNews, ...] = ()
 
 
-class CatalogAsk(msgspec.Struct, frozen=True, array_like=True):
-    """A question for a catalog newer than `version`."""
+class FetchCatalogRequest(msgspec.Struct, frozen=True, array_like=True):
+    """Request for a catalog newer than `version`."""
 
     box: BoxId
     version: int
 
 
-class CatalogTold(msgspec.Struct, frozen=True, array_like=True):
-    """The version that the teller knows, and the catalog, packed.
+class FetchCatalogReply(msgspec.Struct, frozen=True, array_like=True):
+    """The newest catalog version known to the sender, and that catalog, packed.
 
-    It is empty where it is not newer, or where the teller serves enough others.
+    `packed` is empty if the version is not newer than the requested one, or if the
+    sender is already sending its catalog to enough other boxes.
     """
 
     version: int
     packed: bytes = b""
 
 
-async def ask_catalog(
-    channels: Channels, address: str, ask: CatalogAsk, timeout: float
-) -> Result[CatalogTold, PeerFault]:
-    """Ask a peer for its catalog; `timeout` in seconds."""
+async def fetch_catalog(
+    channels: Channels, address: str, req: FetchCatalogRequest, timeout: float
+) -> Result[FetchCatalogReply, PeerFault]:
+    """Fetch the catalog from a peer; `timeout` is in seconds."""
     return await channels.call(
-        address, CATALOG_PATH, CatalogAsk, CatalogTold, ask, timeout
+        address, CATALOG_PATH, FetchCatalogRequest, FetchCatalogReply, req, timeout
     )
 
 
-def news_talks() -> Talks[News]:
-    """Return the client side of exchanges of news."""
-    return Talks(PATH, News)
+def news_streams() -> PeerStreams[News]:
+    """Return a client for exchanges of news."""
+    return PeerStreams(PATH, News)
 
 
 class NewsService:
-    """The gRPC service that hears news and answers with its own.
+    """The gRPC service that exchanges news and serves the catalog.
 
     Parameters
     ----------
-    hear : callable
-        Takes a peer's news in and returns this box's for it.
-    tell_catalog : callable
-        Answers a question for the catalog.
+    answer_news : callable
+        Applies a peer's news and returns this box's news for it.
+    answer_catalog_request : callable
+        Answers a request for the catalog.
     """
 
     def __init__(
         self,
-        hear: t.Callable[[News], t.Awaitable[News]],
-        tell_catalog: t.Callable[[CatalogAsk], t.Awaitable[CatalogTold]],
+        answer_news: t.Callable[[News], t.Awaitable[News]],
+        answer_catalog_request: t.Callable[
+            [FetchCatalogRequest], t.Awaitable[FetchCatalogReply]
+        ],
     ) -> None:
-        self._hear = hear
-        self._tell_catalog = tell_catalog
+        self._answer_news = answer_news
+        self._answer_catalog_request = answer_catalog_request
         self._closed = False
 
     def close(self) -> None:
-        """Answer nothing more, on connections that are still open either."""
+        """Refuse all further calls, also on connections that are still open."""
         self._closed = True
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the handlers by path, as grpclib asks for them."""
+        """Return the handlers by path, as grpclib requires."""
         is_closed = lambda: self._closed  # noqa: E731
-        hear = talk_handler(self._hear, News, is_closed)
-        tell_catalog = unary_handler(
-            self._tell_catalog, CatalogAsk, CatalogTold, is_closed
+        answer_news = stream_handler(self._answer_news, News, is_closed)
+        answer_catalog_request = unary_handler(
+            self._answer_catalog_request,
+            FetchCatalogRequest,
+            FetchCatalogReply,
+            is_closed,
         )
-        return {PATH: hear, CATALOG_PATH: tell_catalog}
+        return {PATH: answer_news, CATALOG_PATH: answer_catalog_request}
--- a/src/spanshunt/peers/news_rows.py
+++ b/src/spanshunt/peers/news_rows.py
@@ -1,4 +1,4 @@
-"""Rows of tables as boxes tell them to each other, and back."""
+"""Conversion between rows of tables and the messages between boxes."""
 
 from ..ids import DomainId
 from ..ids import Incarnation
@@ -23,35 +23,36 @@
 from ..tables.rollouts import WorkerTallyKey
 from ..tables.suspects import SuspectRequest
 from ..tables.workers import WorkerRow
-from .news import AgainstNews
 from .news import EvacuationNews
 from .news import LeavingNews
 from .news import LimitNews
-from .news import ReadingNews
-from .news import ReadNews
+from .news import PendingPrefillNews
+from .news import RecentPrefillNews
 from .news import RolloutNews
 from .news import SpeedNews
 from .news import SuspectNews
+from .news import SuspicionNews
 from .news import TallyGroup
 from .news import TallyNews
 from .news import WorkerNews
 from .news import WorkerTallyNews
 
-TALLY_EPOCHS = 3
-"""Newest epochs of evidence told in each exchange."""
+NEWEST_EPOCHS_SENT = 3
+"""Number of the newest epochs whose tallies are sent in each message."""
 
-RETOLD_EPOCHS, RETOLD_MS = 3, 400
-"""Older epochs told in each exchange at most, in turn, and how long a turn is, in ms: a
-box that started or was not heard for a while knows all of an order of 24 s within 4 s,
-for about as many bytes as the newest epochs take."""
+MAX_OLDER_EPOCHS_SENT, OLDER_EPOCHS_TURN_MS = 3, 400
+"""Maximum number of older epochs whose tallies are sent in each message, in rotation,
+and the length of one turn of the rotation, in ms. A box that started or was not heard
+for a while knows all tallies of an order of 24 s within 4 s, for about as many bytes as
+the newest epochs take."""
 
 
-LEAVINGS_TOLD = 32
-"""Workers told in one exchange at most whose answers alone say that they leave."""
+MAX_LEAVING_NOTICES_SENT = 32
+"""Maximum number of leaving notices in one message, newest first."""
 
 
 def workers_news(fleet: Fleet, now: Millis) -> tuple[WorkerNews, ...]:
-    """Return the list of workers as the store gave it."""
+    """Return the workers' list, without workers that are missing from the store."""
     return tuple(
         WorkerNews(
             name=row.name,
@@ -69,8 +70,8 @@
     )
 
 
-def listed(item: WorkerNews) -> ListedWorker:
-    """Return a told worker as an entry of the list."""
+def to_listed_worker(item: WorkerNews) -> ListedWorker:
+    """Return a received worker as an entry of the list."""
     row = WorkerRow(
         name=item.name,
         address=item.address,
@@ -84,16 +85,17 @@
 
 
 def rollout_news(
-    fleet: Fleet, row: RolloutRow, now: Millis, hearer: DomainId | None = None
+    fleet: Fleet, row: RolloutRow, now: Millis, receiver: DomainId | None = None
 ) -> RolloutNews:
-    """Return what this box knows of an order, with evidence for a hearer's domain.
+    """Return the state of an order, with the tallies for the receiver's failure domain.
 
-    Boxes of this failure domain take its boxes one by one, others its sum; no domain
-    needs its own sum back.
+    A receiver in this domain gets the tallies of single runs of boxes, other receivers
+    their sum over this domain; no domain gets its own sum back. If the receiver's
+    domain is unknown, all of them are sent.
     """
     groups: list[TallyGroup] = []
     if row.verdict is not Verdict.ROLLED_BACK:
-        groups = _groups(fleet, row, _told_epochs(row, now), hearer)
+        groups = _tally_groups(fleet, row, _epochs_to_send(row, now), receiver)
     return RolloutNews(
         service=row.service,
         version=row.version,
@@ -108,66 +110,72 @@
         extra=row.extra,
         seen=row.seen,
         full_from_ms=row.full_from_ms,
-        turned_bad=row.turned_bad_reason,
+        turned_bad_reason=row.turned_bad_reason,
         announced=row.announced,
-        against=_against_news(row.recorded_suspicion),
+        recorded_suspicion=_suspicion_news(row.recorded_suspicion),
     )
 
 
-def _against_news(known: RecordedSuspicion | None) -> AgainstNews | None:
-    if known is None:
+def _suspicion_news(suspicion: RecordedSuspicion | None) -> SuspicionNews | None:
+    if suspicion is None:
         return None
-    finding = known.finding.value
-    return AgainstNews(known.route, finding, known.log_evidence, known.epoch)
+    finding = suspicion.finding.value
+    return SuspicionNews(
+        suspicion.route, finding, suspicion.log_evidence, suspicion.epoch
+    )
 
 
-def told_against(told: AgainstNews) -> RecordedSuspicion:
-    """Return a told suspicion as a row has it."""
+def to_recorded_suspicion(received: SuspicionNews) -> RecordedSuspicion:
+    """Return a received suspicion as it is kept in a row."""
     return RecordedSuspicion(
-        told.route, Finding(told.finding), told.log_evidence, told.epoch
+        received.route,
+        Finding(received.finding),
+        received.log_evidence,
+        received.epoch,
     )
 
 
-def _groups(
-    fleet: Fleet, row: RolloutRow, epochs: set[int], hearer: DomainId | None
+def _tally_groups(
+    fleet: Fleet, row: RolloutRow, epochs: set[int], receiver: DomainId | None
 ) -> list[TallyGroup]:
     me = fleet.identity
     groups = []
-    if hearer in (None, me.domain):
-        groups.append(_group(me.domain, me.incarnation, row.own, epochs))
-        # What a run of a box told that has ended, the box itself lacks when it is back.
+    if receiver in (None, me.domain):
+        groups.append(_tally_group(me.domain, me.incarnation, row.own, epochs))
+        # A restarted box lacks the tallies of its former run, so peers send them to it.
         running = {peer.incarnation for peer in fleet.peers.values()}
         groups += [
-            _group(me.domain, ended, tallies, epochs)
+            _tally_group(me.domain, ended, tallies, epochs)
             for ended, tallies in row.same_domain.items()
             if ended not in running
         ]
-    if hearer != me.domain:
+    if receiver != me.domain:
         total = sum_tallies(row.own, *row.same_domain.values())
-        groups.append(_group(me.domain, Incarnation(""), total, epochs))
+        groups.append(_tally_group(me.domain, Incarnation(""), total, epochs))
     groups += [
-        _group(domain, Incarnation(""), tallies, epochs)
+        _tally_group(domain, Incarnation(""), tallies, epochs)
         for domain, tallies in row.other_domains.items()
-        if domain != hearer
+        if domain != receiver
     ]
     return groups
 
 
-def _told_epochs(row: RolloutRow, now: Millis) -> set[int]:
-    """Return the epochs told now: the newest, and older ones in turn."""
+def _epochs_to_send(row: RolloutRow, now: Millis) -> set[int]:
+    """Return the epochs to send now: the newest, and older ones in rotation."""
     newest = max(0, now - row.began) // EPOCH_MS
-    older = max(0, newest - TALLY_EPOCHS + 1)
+    older = max(0, newest - NEWEST_EPOCHS_SENT + 1)
     turns = 1
-    while turns * RETOLD_EPOCHS < older:
+    while turns * MAX_OLDER_EPOCHS_SENT < older:
         turns *= 2
-    # Doubled, so that a turn stays the same epochs' while an order goes on.
+    # The number of turns is doubled, so that a turn keeps its epochs while the order
+    # goes on.
     return {
-        *range(now // RETOLD_MS % turns, older, turns),
+        *range(now // OLDER_EPOCHS_TURN_MS % turns, older, turns),
         *range(older, newest + 1),
     }
 
 
-def _group(
+def _tally_group(
     domain: DomainId, box: Incarnation, tallies: Tallies, epochs: set[int]
 ) -> TallyGroup:
     routes = tuple(
@@ -197,122 +205,127 @@
     return TallyGroup(domain, box, routes, workers)
 
 
-def take_group(fleet: Fleet, row: RolloutRow, group: TallyGroup) -> None:
-    """Take in evidence: boxes of this domain one by one, others as sums.
+def merge_tally_group(fleet: Fleet, row: RolloutRow, group: TallyGroup) -> None:
+    """Merge received tallies: of single boxes of this domain, or a sum of another.
 
-    Counts only rise, so the greatest told is the newest, in whatever order it comes.
+    Counts only rise, so the greatest one is the newest, whatever the order of arrival.
     """
     me = fleet.identity
-    near = group.domain == me.domain
-    if near != bool(group.box) or group.box == me.incarnation:
+    same_domain = group.domain == me.domain
+    if same_domain != bool(group.box) or group.box == me.incarnation:
         return
     row.changes += 1
-    into = (
+    tallies = (
         row.same_domain.setdefault(group.box, Tallies())
-        if near
+        if same_domain
         else row.other_domains.setdefault(group.domain, Tallies())
     )
-    for told in group.tallies:
-        key = TallyKey(told.route, told.entering, told.epoch)
-        tally = Tally(told.answers, told.failed, told.timed, told.slow)
-        into.routes.setdefault(key, Tally()).merge(tally)
+    for received in group.tallies:
+        key = TallyKey(received.route, received.entering, received.epoch)
+        tally = Tally(received.answers, received.failed, received.timed, received.slow)
+        tallies.routes.setdefault(key, Tally()).merge(tally)
     for item in group.workers:
-        worker = WorkerTallyKey(item.worker, item.entering)
+        worker_key = WorkerTallyKey(item.worker, item.entering)
         tally = Tally(item.answers, item.failed, item.timed, item.slow)
-        into.workers.setdefault(worker, Tally()).merge(tally)
+        tallies.workers.setdefault(worker_key, Tally()).merge(tally)
 
 
 def speeds_news(fleet: Fleet) -> tuple[SpeedNews, ...]:
-    """Return how fast engines are, as far as this box learned it."""
-    told = []
+    """Return the speeds of engines, as this box estimates them."""
+    items = []
     for (service, model), speed in fleet.prefill_speeds.items():
-        pace = fleet.decode_speeds.get((service, model))
-        gap_ms = pace.gap_ms if pace is not None else 0.0
-        told.append(SpeedNews(service, model, speed.read_ms, speed.base_ms, gap_ms))
-    return tuple(told)
+        decode_speed = fleet.decode_speeds.get((service, model))
+        gap_ms = decode_speed.gap_ms if decode_speed is not None else 0.0
+        items.append(SpeedNews(service, model, speed.read_ms, speed.base_ms, gap_ms))
+    return tuple(items)
 
 
-def readings_news(fleet: Fleet) -> tuple[ReadingNews, ...]:
-    """Return what this box has waiting at engines."""
+def pending_prefills_news(fleet: Fleet) -> tuple[PendingPrefillNews, ...]:
+    """Return the prefill times of this box's prompts that wait at engines."""
     return tuple(
-        ReadingNews(row.name, int(row.prefill_ms))
+        PendingPrefillNews(row.name, int(row.prefill_ms))
         for row in fleet.workers.rows.values()
         if row.prefill_ms >= 1.0
     )
 
 
-def reads_news(fleet: Fleet, now: Millis) -> tuple[ReadNews, ...]:
-    """Return the prompts that this box sent to engines of late."""
+def recent_prefills_news(fleet: Fleet, now: Millis) -> tuple[RecentPrefillNews, ...]:
+    """Return the prompts that this box recently sent to engines."""
     return tuple(
-        ReadNews(read.worker, read.model, read.shared_parts)
-        for read in reportable_prefills(fleet, now)
+        RecentPrefillNews(prefill.worker, prefill.model, prefill.shared_parts)
+        for prefill in reportable_prefills(fleet, now)
     )
 
 
 def limits_news(fleet: Fleet, now: Millis) -> tuple[LimitNews, ...]:
-    """Return what workers said of the rates that they take."""
+    """Return the newest rate limits of workers."""
     return tuple(
         LimitNews(
-            worker=heard.worker.name,
-            born=heard.worker.born,
-            per_s=-1.0 if heard.limit.per_s is None else heard.limit.per_s,
-            age_ms=now - heard.limit.at,
-            source=heard.limit.source,
+            worker=known.worker.name,
+            born=known.worker.born,
+            per_s=-1.0 if known.limit.per_s is None else known.limit.per_s,
+            age_ms=now - known.limit.at,
+            source=known.limit.source,
         )
-        for heard in limits_to_send(fleet, now)
+        for known in limits_to_send(fleet, now)
     )
 
 
-def leavings_news(fleet: Fleet, now: Millis) -> tuple[LeavingNews, ...]:
-    """Return which workers said that they leave, the newest first."""
-    said = [
+def leaving_news(fleet: Fleet, now: Millis) -> tuple[LeavingNews, ...]:
+    """Return the newest leaving notices of workers, the newest first."""
+    notices = [
         LeavingNews(row.name, row.born, now - row.leaving.at, row.leaving.source)
         for row in fleet.workers.rows.values()
         if row.leaving is not None and not row.listed_leaving
     ]
-    return tuple(sorted(said, key=lambda item: item.age_ms)[:LEAVINGS_TOLD])
+    return tuple(
+        sorted(notices, key=lambda item: item.age_ms)[:MAX_LEAVING_NOTICES_SENT]
+    )
 
 
 def evacuations_news(fleet: Fleet) -> tuple[EvacuationNews, ...]:
-    """Return what operators said last of each failure domain."""
+    """Return the operators' newest evacuation order for each failure domain."""
     return tuple(
         EvacuationNews(row.domain, row.order, row.active)
         for row in fleet.evacuations.values()
     )
 
 
-def told_evacuation(item: EvacuationNews) -> EvacuationRow:
-    """Return a told word on a failure domain as a row."""
+def to_evacuation_row(item: EvacuationNews) -> EvacuationRow:
+    """Return a received evacuation order as a row."""
     return EvacuationRow(item.domain, Offset(item.order), item.active)
 
 
 def suspects_news(
-    fleet: Fleet, now: Millis, hearer_digest: int | None
+    fleet: Fleet, now: Millis, receiver_digest: int | None
 ) -> tuple[SuspectNews, ...]:
-    """Return what this box knows of contents under which workers ended."""
+    """Return the suspect requests to send to a peer.
+
+    `receiver_digest` is the peer's `quarantine_digest`; None if it is unknown.
+    """
     return tuple(
         SuspectNews(
             fingerprint=row.fingerprint,
             service=row.service,
             versions=tuple(row.versions),
-            ends=tuple((life, now - at) for life, at in row.ends.items()),
-            sound_age_ms=now - row.cleared_at if row.cleared_at >= 0 else -1,
-            kept_by=row.quarantined_by,
+            ends=tuple((run, now - at) for run, at in row.ends.items()),
+            cleared_age_ms=now - row.cleared_at if row.cleared_at >= 0 else -1,
+            quarantined_by=row.quarantined_by,
             recorded=row.recorded,
         )
-        for row in suspects_to_send(fleet, now, hearer_digest)
+        for row in suspects_to_send(fleet, now, receiver_digest)
     )
 
 
-def told_suspect(item: SuspectNews, now: Millis) -> SuspectRequest:
-    """Return a told content as a row."""
-    sound = item.sound_age_ms
+def to_suspect_request(item: SuspectNews, now: Millis) -> SuspectRequest:
+    """Return a received suspect request as a row."""
+    cleared_age_ms = item.cleared_age_ms
     return SuspectRequest(
         fingerprint=item.fingerprint,
         service=item.service,
-        ends={life: Millis(now - age) for life, age in item.ends},
+        ends={run: Millis(now - age) for run, age in item.ends},
         versions=set(item.versions),
-        cleared_at=Millis(now - sound if sound >= 0 else -1),
-        quarantined_by=item.kept_by,
+        cleared_at=Millis(now - cleared_age_ms if cleared_age_ms >= 0 else -1),
+        quarantined_by=item.quarantined_by,
         recorded=item.recorded,
     )
--- a/src/spanshunt/peers/packing.py
+++ b/src/spanshunt/peers/packing.py
@@ -1,4 +1,4 @@
-"""Packing of what is large and repeats itself, for slow links between boxes."""
+"""Compression of large, repetitive data that boxes send over slow links."""
 
 import zlib
 
@@ -6,25 +6,27 @@
 from result import Ok
 from result import Result
 
-LEVEL = 1
-"""How hard to pack, as zlib counts: the fastest, a catalog of 400 KB in about 5 ms."""
+COMPRESSION_LEVEL = 1
+"""The zlib level: the fastest one, which packs a catalog of 400 KB in about 5 ms."""
 
-MOST_BYTES = 64 * 1024 * 1024
-"""What is longer than this unpacked is not taken, in bytes."""
+MAX_UNPACKED_BYTES = 64 * 1024 * 1024
+"""Maximum size of unpacked data, in bytes; larger data are an error."""
 
 
 def pack(raw: bytes) -> bytes:
-    """Return `raw` packed."""
-    return zlib.compress(raw, LEVEL)
+    """Return `raw` in compressed form."""
+    return zlib.compress(raw, COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> Result[bytes, str]:
-    """Return what was packed, or why it can't be read."""
-    unpacker = zlib.decompressobj()
+    """Return the decompressed data, or a description of the error."""
+    decompressor = zlib.decompressobj()
     try:
-        raw = unpacker.decompress(packed, MOST_BYTES)
+        raw = decompressor.decompress(packed, MAX_UNPACKED_BYTES)
     except zlib.error as exc:
         return Err(f"packed bytes: {exc}")
-    if not unpacker.eof:
-        return Err(f"packed bytes: cut short, or over {MOST_BYTES} bytes unpacked")
+    if not decompressor.eof:
+        return Err(
+            f"packed bytes: cut short, or over {MAX_UNPACKED_BYTES} bytes unpacked"
+        )
     return Ok(raw)
--- a/src/spanshunt/peers/partners.py
+++ b/src/spanshunt/peers/partners.py
@@ -1,8 +1,8 @@
-"""Which peers a box exchanges news with: a few at a time, others as time goes on.
+"""Choice of the peers that a box exchanges news with.
 
-Streams to peers stay open, so a box talks to the same few for a while. It draws one of
-them for each round, so that within two seconds it has heard from most of them, and lets
-one go for another now and then, so that any two boxes meet.
+Streams to peers stay open, so a box keeps the same few partners for a while. It draws
+one of them in each round, so that it hears from most of them within two seconds, and it
+regularly replaces one, so that any two boxes become partners in time.
 """
 
 import random
@@ -11,42 +11,50 @@
 from ..ids import Millis
 from ..tables.fleet import PeerRow
 
-PARTNERS_MOST = 6
-"""Peers that a box keeps streams to, of its own failure domain and of others each: with
-those that chose it, it hears from some twenty within two seconds, as a box does that
-draws among all. An open stream takes about 60 KB on both sides together."""
+MAX_PARTNERS = 6
+"""Maximum number of peers that a box keeps streams to, in its own failure domain and in
+the others each. Together with the boxes that chose it, a box then hears from about
+twenty within two seconds, as many as with a draw among all peers. An open stream takes
+about 60 KB of memory, both sides together."""
 
-TURN_MS = 6_000
-"""How often one of them gives way to another, in ms: a new stream costs as much as six
-exchanges, and a box of 91 meets all others of its domain within some minutes."""
+REPLACE_AFTER_MS = 6_000
+"""How often one partner is replaced, in ms. A new stream costs as much as six
+exchanges; at this interval, a box of a domain of 91 exchanges news with all others
+within some minutes."""
 
 
 class Partners:
-    """The peers of one kind that a box exchanges news with.
+    """Partners of a box, either in its own failure domain or in the others.
 
     Parameters
     ----------
     rng : random.Random
-        Draws them.
+        Random generator that draws the partners.
+
+    Attributes
+    ----------
+    boxes : set of str
+        The current partners.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.boxes: set[BoxId] = set()
         self._rng = rng
-        self._turned_at = Millis(0)
+        self._replaced_at = Millis(0)
 
-    def draw(self, ready: list[PeerRow], count: int, now: Millis) -> list[PeerRow]:
-        """Return partners to talk to now, at most `count`, of the peers that may be.
+    def draw(self, candidates: list[PeerRow], count: int, now: Millis) -> list[PeerRow]:
+        """Return at most `count` partners to call now, all of them from `candidates`.
 
-        They take turns: each is heard again within as many rounds as there are.
+        The partners called longest ago come first, so with one call in a round each
+        partner is called once in as many rounds as there are partners.
         """
-        known = {peer.box: peer for peer in ready}
+        known = {peer.box: peer for peer in candidates}
         self.boxes &= known.keys()
-        if now >= self._turned_at + TURN_MS and self.boxes:
-            self._turned_at = now
+        if now >= self._replaced_at + REPLACE_AFTER_MS and self.boxes:
+            self._replaced_at = now
             self.boxes.remove(self._rng.choice(sorted(self.boxes)))
         others = sorted(known.keys() - self.boxes)
-        missing = PARTNERS_MOST - len(self.boxes)
+        missing = MAX_PARTNERS - len(self.boxes)
         self.boxes.update(self._rng.sample(others, min(missing, len(others))))
         drawn = [known[box] for box in sorted(self.boxes)]
         self._rng.shuffle(drawn)
--- a/src/spanshunt/peers/service.py
+++ b/src/spanshunt/peers/service.py
@@ -21,34 +21,34 @@
 
 
 class PeerHandlers(t.Protocol):
-    """What the daemon does with each call of a peer."""
+    """Handlers of the calls of peers; the daemon implements them."""
 
-    async def exchange(self, told: Exchange) -> ExchangeAnswer:
-        """Exchange news."""
+    async def exchange(self, message: Exchange) -> ExchangeAnswer:
+        """Merge a peer's state and return this box's."""
 
     async def copy_bills(self, copy: CopyBillsRequest) -> CopyBillsReply:
-        """Hold copies of bills."""
+        """Store copies of bills."""
 
     async def ask_call(self, ask: CallStatusRequest) -> CallStatusReply:
-        """Say how far a claimed call got."""
+        """Return the status of a claimed call."""
 
     async def get_pin(self, pin: Pin) -> Pin:
-        """Return a session's version."""
+        """Return the version that a session is pinned to."""
 
     async def put_pin(self, pin: Pin) -> Pin:
-        """Keep a session's version."""
+        """Store the version that a session is pinned to."""
 
     async def gather(self, part: AppendPartRequest) -> AppendPartReply:
-        """Append a part of a batch."""
+        """Append a record in a batch."""
 
 
 class PeerService:
-    """The gRPC service; its mapping is written out, as there is no generator.
+    """The gRPC service, with its method table written by hand, not generated.
 
     Parameters
     ----------
     handlers : PeerHandlers
-        What to do with each call.
+        Handlers of the calls.
     """
 
     def __init__(self, handlers: PeerHandlers) -> None:
@@ -56,31 +56,33 @@
         self._closed = False
 
     def close(self) -> None:
-        """Answer nothing more, on connections that are still open either."""
+        """Refuse all further calls, also on connections that are still open."""
         self._closed = True
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the handlers by path, as grpclib asks for them."""
-        does = self._handlers
+        """Return the handlers by path, as grpclib requires."""
+        handlers = self._handlers
         return {
-            PREFIX + "Exchange": self._unary(does.exchange, Exchange, ExchangeAnswer),
+            PREFIX + "Exchange": self._unary(
+                handlers.exchange, Exchange, ExchangeAnswer
+            ),
             PREFIX + "CopyBills": self._unary(
-                does.copy_bills, CopyBillsRequest, CopyBillsReply
+                handlers.copy_bills, CopyBillsRequest, CopyBillsReply
             ),
             PREFIX + "AskCall": self._unary(
-                does.ask_call, CallStatusRequest, CallStatusReply
+                handlers.ask_call, CallStatusRequest, CallStatusReply
             ),
-            PREFIX + "GetPin": self._unary(does.get_pin, Pin, Pin),
-            PREFIX + "PutPin": self._unary(does.put_pin, Pin, Pin),
+            PREFIX + "GetPin": self._unary(handlers.get_pin, Pin, Pin),
+            PREFIX + "PutPin": self._unary(handlers.put_pin, Pin, Pin),
             PREFIX + "Gather": self._unary(
-                does.gather, AppendPartRequest, AppendPartReply
+                handlers.gather, AppendPartRequest, AppendPartReply
             ),
         }
 
     def _unary(
         self,
-        handle: t.Callable[[_Req], t.Awaitable[_Rep]],
+        handler: t.Callable[[_Req], t.Awaitable[_Rep]],
         req_type: type[_Req],
         rep_type: type[_Rep],
     ) -> Handler:
-        return unary_handler(handle, req_type, rep_type, lambda: self._closed)
+        return unary_handler(handler, req_type, rep_type, lambda: self._closed)
--- a/src/spanshunt/peers/talks.py
+++ b/src/spanshunt/peers/talks.py
@@ -1,7 +1,6 @@
-"""Exchanges with peers over streams that stay open.
+"""Exchanges of messages with peers over streams that stay open.
 
-A call of its own for each message takes most of its processor time for the heads of
-HTTP/2.
+A unary call for each message would spend most of its processor time on HTTP/2 headers.
 """
 
 import asyncio
@@ -24,95 +23,98 @@
 from .unary import PeerFault
 from .unary import open_channel
 
-_Told = t.TypeVar("_Told")
+_Message = t.TypeVar("_Message")
 
 
-class _Talk(msgspec.Struct, t.Generic[_Told]):
-    """A stream to a peer, entered at its first use; exchanges on it take turns."""
+class _PeerStream(msgspec.Struct, t.Generic[_Message]):
+    """A stream to a peer, entered on first use; `lock` serialises its exchanges."""
 
     channel: Channel
-    stream: ClientStream[_Told, _Told]
-    turn: asyncio.Lock
+    stream: ClientStream[_Message, _Message]
+    lock: asyncio.Lock
     entered: bool = False
 
 
-class Talks(t.Generic[_Told]):
-    """Exchanges one kind of message, over one stream for each address.
+class PeerStreams(t.Generic[_Message]):
+    """Client that exchanges messages of one type, over one stream for each address.
 
     Parameters
     ----------
     path : str
-        The method's path.
-    kind : type
-        What is told and heard.
+        Path of the gRPC method.
+    message_type : type
+        Type of the messages in both directions.
     """
 
-    def __init__(self, path: str, kind: type[_Told]) -> None:
+    def __init__(self, path: str, message_type: type[_Message]) -> None:
         self._path = path
-        self._kind = kind
-        self._talks: dict[str, _Talk[_Told]] = {}
+        self._message_type = message_type
+        self._streams: dict[str, _PeerStream[_Message]] = {}
 
     async def exchange(
-        self, address: str, told: _Told, timeout: float
-    ) -> Result[_Told, PeerFault]:
-        """Tell a peer and hear from it; `timeout` in seconds."""
-        talk = self._talk(address)
+        self, address: str, message: _Message, timeout: float
+    ) -> Result[_Message, PeerFault]:
+        """Send a message to a peer and return its reply; `timeout` is in seconds."""
+        entry = self._get_stream(address)
         try:
-            async with asyncio.timeout(timeout), talk.turn:
-                if not talk.entered:
-                    # It is left by closing its channel: a peer may not answer any more.
-                    await talk.stream.__aenter__()
-                    talk.entered = True
-                await talk.stream.send_message(told)
-                heard = await talk.stream.recv_message()
+            async with asyncio.timeout(timeout), entry.lock:
+                if not entry.entered:
+                    # The stream is never exited: `_drop` closes its channel instead, as
+                    # the peer may no longer answer.
+                    await entry.stream.__aenter__()
+                    entry.entered = True
+                await entry.stream.send_message(message)
+                reply = await entry.stream.recv_message()
         except CALL_FAULTS as exc:
-            self._drop(address, talk)
+            self._drop(address, entry)
             return Err(PeerFault(f"{address} {self._path}: {type(exc).__name__} {exc}"))
-        if heard is None:
-            self._drop(address, talk)
+        if reply is None:
+            self._drop(address, entry)
             return Err(PeerFault(f"{address} {self._path}: ended by the peer"))
-        return Ok(heard)
+        return Ok(reply)
 
-    def keep(self, addresses: t.Collection[str]) -> None:
-        """Close the streams to all other addresses, but for exchanges under way."""
-        for address, talk in list(self._talks.items()):
-            if address not in addresses and not talk.turn.locked():
-                self._drop(address, talk)
+    def close_others(self, addresses: t.Collection[str]) -> None:
+        """Close the streams to all other addresses, unless an exchange is running."""
+        for address, entry in list(self._streams.items()):
+            if address not in addresses and not entry.lock.locked():
+                self._drop(address, entry)
 
     def stop(self) -> None:
         """Close all streams."""
-        for address, talk in list(self._talks.items()):
-            self._drop(address, talk)
+        for address, entry in list(self._streams.items()):
+            self._drop(address, entry)
 
-    def _talk(self, address: str) -> _Talk[_Told]:
-        talk = self._talks.get(address)
-        if talk is None:
+    def _get_stream(self, address: str) -> _PeerStream[_Message]:
+        entry = self._streams.get(address)
+        if entry is None:
             channel = open_channel(address)
-            method = StreamStreamMethod(channel, self._path, self._kind, self._kind)
-            talk = _Talk(channel, method.open(), asyncio.Lock())
-            self._talks[address] = talk
-        return talk
-
-    def _drop(self, address: str, talk: _Talk[_Told]) -> None:
-        if self._talks.get(address) is talk:
-            del self._talks[address]
-        talk.channel.close()
-
-
-def talk_handler(
-    hear: t.Callable[[_Told], t.Awaitable[_Told]],
-    kind: type[_Told],
+            method = StreamStreamMethod(
+                channel, self._path, self._message_type, self._message_type
+            )
+            entry = _PeerStream(channel, method.open(), asyncio.Lock())
+            self._streams[address] = entry
+        return entry
+
+    def _drop(self, address: str, entry: _PeerStream[_Message]) -> None:
+        if self._streams.get(address) is entry:
+            del self._streams[address]
+        entry.channel.close()
+
+
+def stream_handler(
+    answer: t.Callable[[_Message], t.Awaitable[_Message]],
+    message_type: type[_Message],
     is_closed: t.Callable[[], bool],
 ) -> Handler:
-    """Return the server side of exchanges; once closed it answers nothing more."""
+    """Return the server side of exchanges; it refuses them once `is_closed()`."""
 
-    async def serve(stream: Stream[_Told, _Told]) -> None:
+    async def serve(stream: Stream[_Message, _Message]) -> None:
         while True:
-            told = await stream.recv_message()
+            message = await stream.recv_message()
             if is_closed():
                 raise GRPCError(Status.UNAVAILABLE, "this box has stopped")
-            if told is None:
+            if message is None:
                 return
-            await stream.send_message(await hear(told))
+            await stream.send_message(await answer(message))
 
-    return Handler(serve, Cardinality.STREAM_STREAM, kind, kind)
+    return Handler(serve, Cardinality.STREAM_STREAM, message_type, message_type)
--- a/src/spanshunt/peers/unary.py
+++ b/src/spanshunt/peers/unary.py
@@ -1,4 +1,4 @@
-"""Calls of one message each way between daemons, client and server side."""
+"""Unary calls between daemons, client and server side."""
 
 import typing as t
 
@@ -23,7 +23,7 @@
 
 
 class PeerFault(msgspec.Struct, frozen=True):
-    """A call to a peer that gave no answer; it may have taken effect."""
+    """Error of a call to a peer that got no answer; the call may have taken effect."""
 
     detail: str
 
@@ -35,11 +35,11 @@
     OSError,
     msgspec.MsgspecError,
 )
-"""What a call to a peer that can't be reached, or answers oddly, ends with."""
+"""Exceptions of a call whose peer is unreachable or sends an invalid answer."""
 
 
 def open_channel(address: str) -> Channel:
-    """Return a channel to a peer; it connects at its first use."""
+    """Return a channel to a peer; it connects on first use."""
     host, _, port = address.rpartition(":")
     return Channel(host, int(port), codec=MsgpackCodec())
 
@@ -65,8 +65,8 @@
         req: _Req,
         timeout: float,
     ) -> Result[_Rep, PeerFault]:
-        """Call `path` at a peer; `timeout` in seconds."""
-        channel = self._channel(address)
+        """Call the method `path` of a peer; `timeout` is in seconds."""
+        channel = self._get_channel(address)
         call = UnaryUnaryMethod(channel, path, req_type, rep_type)
         try:
             return Ok(await call(req, timeout=timeout))
@@ -74,32 +74,32 @@
             self._drop(address, channel)
             return Err(PeerFault(f"{address} {path}: {type(exc).__name__} {exc}"))
 
-    def _channel(self, address: str) -> Channel:
+    def _get_channel(self, address: str) -> Channel:
         channel = self._channels.get(address)
         if channel is None:
             channel = self._channels[address] = open_channel(address)
         return channel
 
     def _drop(self, address: str, channel: Channel) -> None:
-        """Forget a channel that failed, so that the next call connects anew."""
+        """Close a channel that failed, so that the next call opens a new one."""
         if self._channels.get(address) is channel:
             del self._channels[address]
         channel.close()
 
 
 def unary_handler(
-    handle: t.Callable[[_Req], t.Awaitable[_Rep]],
+    handler: t.Callable[[_Req], t.Awaitable[_Rep]],
     req_type: type[_Req],
     rep_type: type[_Rep],
     is_closed: t.Callable[[], bool],
 ) -> Handler:
-    """Return the server side of a call; once closed it answers nothing more."""
+    """Return the server side of a unary call; it refuses calls once `is_closed()`."""
 
     async def serve(stream: _AnyStream) -> None:
         req = await stream.recv_message()
         if is_closed():
             raise GRPCError(Status.UNAVAILABLE, "this box has stopped")
         if req is not None:
-            await stream.send_message(await handle(req))
+            await stream.send_message(await handler(req))
 
     return Handler(serve, Cardinality.UNARY_UNARY, req_type, rep_type)
--- a/src/spanshunt/platform/node.py
+++ b/src/spanshunt/platform/node.py
@@ -185,7 +185,7 @@
             rng,
             self._fetcher.look,
             settings.seeds,
-            on_kept=partial(keep_back, self.core),
+            on_quarantined=partial(keep_back, self.core),
             on_ended=self._take_listed_end,
         )
         self._settings_file = SettingsFile(
@@ -196,7 +196,7 @@
             self.apply,
             self.counters.add,
         )
-        self._news = NewsService(self._exchange.hear, self._fetcher.tell)
+        self._news = NewsService(self._exchange.answer_news, self._fetcher.tell)
         self._server = Server([self._news], codec=MsgpackCodec())
 
     async def start(self) -> None:
@@ -242,7 +242,7 @@
         jobs.forever(self._operator_records.renew)
         jobs.forever(self._worker_list.follow)
         jobs.forever(self._box_list.follow)
-        jobs.every(EXCHANGE_MS, self._exchange.round)
+        jobs.every(EXCHANGE_MS, self._exchange.run_round)
         jobs.forever(self._fetcher.follow)
         jobs.every(JUDGE_MS, self._recorder.tick)
         jobs.every(RECORD_MS, self._kept_back.tick)
--- a/src/spanshunt/worker_notices.py
+++ b/src/spanshunt/worker_notices.py
@@ -175,7 +175,7 @@
     fleet: Fleet, news: News, told_at: Millis | None, now: Millis
 ) -> None:
     """Take in which workers told a peer, or one that it heard of, that they leave."""
-    for told in news.leavings:
+    for told in news.leaving_notices:
         row = fleet.workers.rows.get(told.worker)
         if row is None or row.born != told.born:
             continue
--- a/tests/test_catalog_fetcher.py
+++ b/tests/test_catalog_fetcher.py
@@ -19,7 +19,7 @@
 from spanshunt.clock import ManualClock
 from spanshunt.exchange import TIMEOUT_S
 from spanshunt.ids import BoxId
-from spanshunt.peers.news import CatalogAsk
+from spanshunt.peers.news import FetchCatalogRequest
 from spanshunt.peers.packing import pack
 from spanshunt.peers.packing import unpack
 from spanshunt.platform.wire import decode_catalog
@@ -41,7 +41,7 @@
         refused.endpoint.fault = EndpointFault.BUSY
         tell = served.node._fetcher.tell
 
-        async def tell_slowly(ask: CatalogAsk):
+        async def tell_slowly(ask: FetchCatalogRequest):
             await asyncio.sleep(2 * TIMEOUT_S)
             return await tell(ask)
 
@@ -56,7 +56,7 @@
         refused = fleet.boxes[2]
         refused.endpoint.fault = EndpointFault.BUSY
 
-        async def tell_never(_ask: CatalogAsk):
+        async def tell_never(_ask: FetchCatalogRequest):
             await asyncio.sleep(60)
 
         fleet.boxes[0].node._news._tell_catalog = tell_never
@@ -68,7 +68,7 @@
 
 async def test_box_gives_its_catalog_to_few_at_once():
     fetcher, clock = a_fetcher()
-    ask = CatalogAsk(BoxId("box-2"), 3)
+    ask = FetchCatalogRequest(BoxId("box-2"), 3)
     told = [await fetcher.tell(ask) for _ in range(SERVED_MOST + 2)]
     assert [bool(one.packed) for one in told] == [True] * SERVED_MOST + [False] * 2
     assert {one.version for one in told} == {7}
@@ -89,7 +89,7 @@
 
 async def test_box_that_knows_as_much_gets_nothing():
     fetcher, _ = a_fetcher()
-    assert (await fetcher.tell(CatalogAsk(BoxId("box-2"), 7))).packed == b""
+    assert (await fetcher.tell(FetchCatalogRequest(BoxId("box-2"), 7))).packed == b""
 
 
 def test_packed_bytes_that_are_cut_or_none_are_errors():
--- a/tests/test_evacuating.py
+++ b/tests/test_evacuating.py
@@ -17,7 +17,7 @@
 from spanshunt.ids import Offset
 from spanshunt.ids import ServiceId
 from spanshunt.peers.news_rows import evacuations_news
-from spanshunt.peers.news_rows import told_evacuation
+from spanshunt.peers.news_rows import to_evacuation_row
 from spanshunt.platform import wire
 from spanshunt.standins.store import EndpointFault
 from spanshunt.systems.evacuating import apply_evacuation
@@ -98,7 +98,7 @@
     fleet, peer = make_two_domains(), make_two_domains()
     apply_evacuation(fleet, evacuation(5, True), ms(1))
     for item in evacuations_news(fleet):
-        assert apply_evacuation(peer, told_evacuation(item), ms(2))
+        assert apply_evacuation(peer, to_evacuation_row(item), ms(2))
     assert is_evacuated(peer, NORTH)
 
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -21,9 +21,9 @@
 from spanshunt.ids import Offset
 from spanshunt.ids import ServiceId
 from spanshunt.ids import VersionId
-from spanshunt.peers.news_rows import RETOLD_MS
+from spanshunt.peers.news_rows import OLDER_EPOCHS_TURN_MS
+from spanshunt.peers.news_rows import merge_tally_group
 from spanshunt.peers.news_rows import rollout_news
-from spanshunt.peers.news_rows import take_group
 from spanshunt.systems.blaming import EVIDENCE_THRESHOLD
 from spanshunt.systems.blaming import strongest_suspicion
 from spanshunt.systems.ramping import apply_order
@@ -155,7 +155,7 @@
     def tell(self, teller: Fleet, hearer: Fleet, now: float) -> None:
         news = rollout_news(teller, row_of(teller), ms(now), hearer.identity.domain)
         for group in news.groups:
-            take_group(hearer, row_of(hearer), group)
+            merge_tally_group(hearer, row_of(hearer), group)
         teller_row = PeerRow(teller.identity.box, "host:1", teller.identity.domain)
         teller_row.incarnation = teller.identity.incarnation
         hearer.peers[teller.identity.box] = teller_row
@@ -165,7 +165,7 @@
         one, other = fleet_in_rollout("box-1"), fleet_in_rollout("box-2")
         add_answers(one, "new", [0.5] * 5, 0.0, 18.0)
         for turn in range(8):
-            self.tell(one, other, 18.0 + turn * RETOLD_MS / 1_000)
+            self.tell(one, other, 18.0 + turn * OLDER_EPOCHS_TURN_MS / 1_000)
         assert pooled_tallies(row_of(other)) == pooled_tallies(row_of(one))
 
     def test_tallies_sent_twice_count_once(self):
@@ -290,7 +290,7 @@
             for teller in self.boxes:
                 for hearer in self.boxes:
                     if teller is not hearer:
-                        at = self.now + turn * RETOLD_MS / 1_000
+                        at = self.now + turn * OLDER_EPOCHS_TURN_MS / 1_000
                         TestExchange().tell(teller, hearer, at)
         for fleet in self.boxes:
             assert self.known(fleet) >= sum(self.own)
--- a/tests/test_following_machine.py
+++ b/tests/test_following_machine.py
@@ -196,9 +196,9 @@
             return
         others = [other for other in self.boxes if other is not box and not other.cut]
         for other in self.rng.sample(others, min(2, len(others))):
-            told = box.exchange.news_for(None)
-            box.exchange.take(other.exchange.news_for(told))
-            other.exchange.take(told)
+            told = box.exchange.build_news(None)
+            box.exchange.apply_news(other.exchange.build_news(told))
+            other.exchange.apply_news(told)
 
     def _check(self, now: Millis) -> None:
         for box in self.boxes:
--- a/tests/test_following_workers.py
+++ b/tests/test_following_workers.py
@@ -8,7 +8,7 @@
 from spanshunt.ids import BoxId
 from spanshunt.ids import DomainId
 from spanshunt.ids import Offset
-from spanshunt.peers.news_rows import listed as listed_worker
+from spanshunt.peers.news_rows import to_listed_worker as listed_worker
 from spanshunt.peers.news_rows import workers_news
 from spanshunt.systems.following_workers import ListedWorker
 from spanshunt.systems.following_workers import apply_worker_list
--- a/tests/test_leaving_words.py
+++ b/tests/test_leaving_words.py
@@ -18,7 +18,7 @@
 from spanshunt.ids import WorkerId
 from spanshunt.peers.news import LeavingNews
 from spanshunt.peers.news import News
-from spanshunt.peers.news_rows import leavings_news
+from spanshunt.peers.news_rows import leaving_news
 from spanshunt.platform.wire import decode_leaving
 from spanshunt.standins.worker import WorkerFault
 from spanshunt.standins.worker import WorkerStandin
@@ -60,7 +60,7 @@
         sender.identity.domain,
         "box-2.1",
         1,
-        leavings=leavings,
+        leaving_notices=leavings,
     )
 
 
@@ -188,7 +188,7 @@
 def test_notice_is_sent_to_peers_with_its_age_and_source():
     sender, receiver = fleet_with("a"), fleet_with("a")
     record_leaving_notice(sender, sender.workers.rows["a"], LeavingNotice(ms(1), BOX))
-    (item,) = leavings_news(sender, ms(3))
+    (item,) = leaving_news(sender, ms(3))
     assert (item.age_ms, item.source) == (2_000, BOX)
     take_leaving_news(receiver, news_of(sender, item), None, ms(9))
     assert "a" in receiver.workers.leaving
--- a/tests/test_older_store.py
+++ b/tests/test_older_store.py
@@ -197,7 +197,7 @@
             news = News(
                 BoxId("b"), "h:1", NORTH, peer, 1, rollouts=(told,), store_era=era
             )
-            node._exchange.take(news)
+            node._exchange.apply_news(news)
             assert row.recorded is recorded
 
 
--- a/tests/test_proving.py
+++ b/tests/test_proving.py
@@ -160,7 +160,7 @@
             self.fleet, self.clock, random.Random(1), lambda: None, ()
         )
 
-    def news(self, told_at: int, age_ms: int, version: int = 7) -> News:
+    def news(self, sent_at: int, age_ms: int, version: int = 7) -> News:
         run = Incarnation("b-1.1")
         return News(
             BoxId("b-1"),
@@ -168,7 +168,7 @@
             DomainId("north"),
             run,
             version,
-            told_at=told_at,
+            sent_at=sent_at,
             proof_age_ms=age_ms,
             proof_end=9,
             proof_by=BoxId("b-3"),
@@ -176,22 +176,24 @@
 
     def test_answer_counts_from_its_question(self):
         self.clock.advance(300)
-        self.exchange.take(self.news(told_at=5_000, age_ms=200), NOW)
+        self.exchange.apply_news(self.news(sent_at=5_000, age_ms=200), NOW)
         assert proof_age(self.fleet, self.clock.now()) == 500
         assert self.fleet.catalog_proof.source == "b-3"
 
     def test_delayed_message_does_not_make_the_proof_younger(self):
         """A link that comes back delivers messages that were sent seconds before."""
-        self.exchange.take(self.news(told_at=5_000, age_ms=200), NOW)
+        self.exchange.apply_news(self.news(sent_at=5_000, age_ms=200), NOW)
         self.clock.advance(9_000)
-        self.exchange.take(self.news(told_at=5_100, age_ms=0))
+        self.exchange.apply_news(self.news(sent_at=5_100, age_ms=0))
         assert proof_age(self.fleet, self.clock.now()) == 8_900
 
     def test_message_of_a_box_that_never_answered_gives_no_age(self):
-        self.exchange.take(self.news(told_at=5_000, age_ms=0))
+        self.exchange.apply_news(self.news(sent_at=5_000, age_ms=0))
         assert proof_age(self.fleet, self.clock.now()) == -1
 
     @pytest.mark.parametrize("version", [6, 8])
     def test_proof_of_another_catalog_proves_nothing_here(self, version):
-        self.exchange.take(self.news(told_at=5_000, age_ms=0, version=version), NOW)
+        self.exchange.apply_news(
+            self.news(sent_at=5_000, age_ms=0, version=version), NOW
+        )
         assert proof_age(self.fleet, self.clock.now()) == -1
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -31,7 +31,7 @@
 from spanshunt.ids import ServiceId
 from spanshunt.ids import WorkerId
 from spanshunt.peers.news_rows import suspects_news
-from spanshunt.peers.news_rows import told_suspect
+from spanshunt.peers.news_rows import to_suspect_request
 from spanshunt.standins.worker import WorkerStandin
 from spanshunt.systems.placing import PlacementRequest
 from spanshunt.systems.placing import choose_worker
@@ -289,10 +289,10 @@
     assert _quarantined_names(fleet, 3) == "a"
     record_complete_answer(peer, Fingerprint("a"), ms(2.5))
     for item in suspects_news(fleet, ms(3), None):
-        merge_suspect(peer, told_suspect(item, ms(3)), ms(3))
+        merge_suspect(peer, to_suspect_request(item, ms(3)), ms(3))
     assert may_send_content(peer, Fingerprint("a"), ms(3), under_way=False)
     for item in suspects_news(peer, ms(3.5), None):
-        merge_suspect(fleet, told_suspect(item, ms(3.5)), ms(3.5))
+        merge_suspect(fleet, to_suspect_request(item, ms(3.5)), ms(3.5))
     assert may_send_content(fleet, Fingerprint("a"), ms(4), under_way=False)
 
 
@@ -424,7 +424,7 @@
         isolated.fleet.suspect_requests.clear()
         for peer in isolated.fleet.peers.values():
             peer.heard = Millis(-1)
-        isolated._exchange.take = lambda _news: None
+        isolated._exchange.apply_news = lambda _news: None
         reply = await fleet.ask(fleet.boxes[1], "/long/x", body=CRASHING_BODY)
         assert reply.status == 400
         assert len(crashing.ended_at) == 4
@@ -469,5 +469,5 @@
     release_suspect(fleet, content, ms(100), ms(100))
     assert may_send_content(fleet, content, ms(100), under_way=False)
     for item in suspects_news(fleet, ms(100.4), None):
-        merge_suspect(peer, told_suspect(item, ms(100.4)), ms(100.4))
+        merge_suspect(peer, to_suspect_request(item, ms(100.4)), ms(100.4))
     assert may_send_content(peer, content, ms(101), under_way=False)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -125,8 +125,8 @@
     first, second, third = (make_exchange(fleet, 10.2) for fleet in fleets)
     report(fleets[0], "box-1", 10.0)
     report(fleets[1], "box-2", 10.1)
-    second.take(first.news_for(None))
-    third.take(second.news_for(None))
+    second.apply_news(first.build_news(None))
+    third.apply_news(second.build_news(None))
     assert silent_workers(fleets[2], ms(10.2)) == {SILENT_WORKER}
     assert fleets[2].silence_reports[SILENT_WORKER] == {
         "box-1": ms(10.0),
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -31,7 +31,7 @@
 from spanshunt.ids import Offset
 from spanshunt.ids import ServiceId
 from spanshunt.ids import WorkerId
-from spanshunt.peers.news_rows import listed as told_worker
+from spanshunt.peers.news_rows import to_listed_worker as told_worker
 from spanshunt.peers.news_rows import workers_news
 from spanshunt.platform.wire import decode_catalog
 from spanshunt.platform.wire import decode_worker
--- a/tests/test_worker_entries.py
+++ b/tests/test_worker_entries.py
@@ -14,7 +14,7 @@
 from spanshunt.ids import Millis
 from spanshunt.ids import Offset
 from spanshunt.ids import WorkerId
-from spanshunt.peers.news_rows import listed as listed_worker
+from spanshunt.peers.news_rows import to_listed_worker as listed_worker
 from spanshunt.peers.news_rows import workers_news
 from spanshunt.platform.wire import decode_worker
 from spanshunt.systems.ending import record_worker_end
