--- a/src/spanshunt/admission.py
+++ b/src/spanshunt/admission.py
@@ -1,4 +1,4 @@
-"""Admission: who asks, for what, and whether this box takes the request."""
+"""Admission: authenticates a caller, reads its request and checks its limits."""
 
 import asyncio
 import typing as t
@@ -36,7 +36,7 @@
 EXPLAIN_HEADER = "Spanshunt-Explain"
 
 RawBody = dict[str, msgspec.Raw]
-"""A JSON object whose members are left as they are, to be passed on."""
+"""A JSON object whose member values are forwarded without being decoded."""
 
 
 class _StreamOptions(msgspec.Struct, frozen=True):
@@ -44,18 +44,18 @@
 
 
 class ChatFields(msgspec.Struct, frozen=True):
-    """The members of a chat request that the router reads.
+    """Members of a chat request that the router decodes.
 
     Attributes
     ----------
     model : str
-        A service, a model, or a model and version.
+        Name of a service, a model or a version.
     messages : raw JSON
-        Passed on as they are.
+        The messages, forwarded unchanged.
     stream : bool
         Whether the answer is streamed.
-    stream_options : struct
-        Whether the caller wants the usage event.
+    stream_options : struct or None
+        Options of the stream: whether the caller wants the usage event.
     """
 
     model: str
@@ -65,27 +65,28 @@
 
     @property
     def pass_usage(self) -> bool:
-        """Whether the caller asked for the usage event."""
+        """Whether the usage event is passed on to the caller."""
         return self.stream_options is not None and self.stream_options.include_usage
 
 
 class ChatCall(msgspec.Struct):
-    """A model request under way.
+    """A model request as read and checked.
 
     Attributes
     ----------
     request : str
-        Its id.
+        Request id.
     asked : VersionRequest
-        What is asked for.
+        Input of the choice of a version.
     fields, raw : struct, dict
-        The body, as read and as it came.
+        The decoded members of the body, and all members undecoded.
     session : SessionToken or None
-        The caller's session.
-    sessions_pin_key : str
-        What in the session the version goes by.
+        The caller's session; None if it names none.
+    pin_name : str
+        Key of the session's pin: the service, and the model or version named.
     began, deadline : int
-        In ms of the monotonic clock.
+        When the request arrived and when the caller stops waiting, in ms of the
+        monotonic clock.
     """
 
     request: RequestId
@@ -98,18 +99,26 @@
     deadline: Millis
 
 
-class Target(msgspec.Struct, frozen=True):
-    """What a ``model`` member names: a service, and a model or version in it."""
+class ModelTarget(msgspec.Struct, frozen=True):
+    """What the ``model`` member of a request refers to.
+
+    Attributes
+    ----------
+    service : ServiceRow
+        The service.
+    named : str
+        The model or version named; empty if the service itself is named.
+    """
 
     service: ServiceRow
     named: str
 
 
 def authenticate(router: Router, req: web.Request) -> Result[OrgRow, Refusal]:
-    """Return the organisation that the credential belongs to."""
+    """Return the organisation that owns the credential of a request."""
     scheme, _, secret = req.headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not secret:
-        detail = "header Authorization: missing; `Bearer CREDENTIAL` is needed"
+        detail = "header Authorization: expected `Bearer CREDENTIAL`"
         return Err(Refusal(Problem.BAD_CREDENTIAL, detail))
     org = router.org_of(hash_secret(secret.strip()))
     if org is None:
@@ -119,18 +128,21 @@
 
 
 def check_ready(router: Router) -> Result[None, Refusal]:
-    """Tell whether this box takes new work."""
+    """Check that this box is ready and has room for another request."""
     reason = router.why_not_ready()
     if reason:
         return Err(Refusal(Problem.NOT_READY, reason, retry_ms=Millis(1_000)))
     if len(router.running) >= router.settings.bounds.requests:
-        detail = f"{len(router.running)} requests are under way on this box"
+        detail = f"{len(router.running)} requests are already running on this box"
         return Err(Refusal(Problem.OVERLOADED, detail, retry_ms=Millis(1_000)))
     return Ok(None)
 
 
 def take_in(router: Router, org: OrgRow, request: RequestId) -> Result[None, Refusal]:
-    """Count a request against its organisation's limits and this box's bound."""
+    """Admit a request if its organisation is within its limits.
+
+    An admitted request counts against these limits and as running on this box.
+    """
     refused = admit(
         router.state.usage,
         OrgId(org.name),
@@ -143,9 +155,9 @@
         router.running.add(request)
         return Ok(None)
     details = {
-        LimitKind.RATE: f"over {org.limits.rate:g} requests a second",
-        LimitKind.CONCURRENCY: f"over {org.limits.concurrency} requests at once",
-        LimitKind.BUDGET: f"over the day's budget of {org.limits.budget}",
+        LimitKind.RATE: f"over {org.limits.rate:g} requests per second",
+        LimitKind.CONCURRENCY: f"over {org.limits.concurrency} concurrent requests",
+        LimitKind.BUDGET: f"over the daily budget of {org.limits.budget}",
     }
     detail = f"organisation {org.name}: {details[refused.limit]}"
     return Err(Refusal(Problem.OVER_LIMIT, detail, retry_ms=refused.retry_ms))
@@ -154,7 +166,7 @@
 async def read_chat(
     router: Router, req: web.Request, org: OrgRow, request: RequestId
 ) -> Result[ChatCall, Refusal]:
-    """Read a model request and find out what it asks for."""
+    """Read and check a model request."""
     began = router.clock.now()
     body = await read_body(router, req)
     if isinstance(body, Err):
@@ -164,14 +176,14 @@
         raw = decode_document(body.ok_value, RawBody)
     except InvalidInputError as exc:
         return Err(Refusal(Problem.BAD_REQUEST, f"body {exc.field}: {exc.problem}"))
-    target = find_target(router.state.config, org, fields.model)
+    target = resolve_model(router.state.config, org, fields.model)
     if isinstance(target, Err):
         return target
-    found = target.ok_value
+    model = target.ok_value
     name = req.headers.get(CLASS_HEADER, "")
-    row = found.service.request_class(ClassId(name))
-    if row is None:
-        allowed = ", ".join(known.name for known in found.service.classes)
+    request_class = model.service.request_class(ClassId(name))
+    if request_class is None:
+        allowed = ", ".join(row.name for row in model.service.classes)
         detail = f"header {CLASS_HEADER}: {name!r} is not known; allowed: {allowed}"
         return Err(Refusal(Problem.BAD_REQUEST, detail))
     session = read_session(router, req, org)
@@ -181,13 +193,13 @@
     if isinstance(timeout, Err):
         return timeout
     token = session.ok_value
-    pin_name = f"{found.service.name}/{found.named}"
+    pin_name = f"{model.service.name}/{model.named}"
     pin = token.pins.get(pin_name, VersionId("")) if token else VersionId("")
     asked = VersionRequest(
-        service=ServiceId(found.service.name),
-        request_class=ClassId(row.name),
+        service=ServiceId(model.service.name),
+        request_class=ClassId(request_class.name),
         org=OrgId(org.name),
-        named=found.named,
+        named=model.named,
         pin=pin,
         draw_key=f"{org.name}/{token.session}" if token else request,
     )
@@ -206,10 +218,10 @@
 
 
 async def read_body(router: Router, req: web.Request) -> Result[bytes, Refusal]:
-    """Read a bounded body in bounded time."""
+    """Read the body, within the limits of size and time."""
     bounds = router.settings.bounds
     too_large = Refusal(
-        Problem.TOO_LARGE, f"body: over {bounds.body_bytes} bytes, the most allowed"
+        Problem.TOO_LARGE, f"body: over {bounds.body_bytes} bytes, the maximum"
     )
     if (req.content_length or 0) > bounds.body_bytes:
         return Err(too_large)
@@ -219,20 +231,25 @@
     except web.HTTPRequestEntityTooLarge:
         return Err(too_large)
     except TimeoutError:
-        detail = f"body: not whole after {bounds.body_timeout_ms} ms"
+        detail = f"body: incomplete after {bounds.body_timeout_ms} ms"
         return Err(Refusal(Problem.BODY_TIMEOUT, detail))
     except (web.RequestPayloadError, ConnectionError) as exc:
         return Err(Refusal(Problem.BAD_REQUEST, f"body: {exc}"))
 
 
-def find_target(config: Config, org: OrgRow, model: str) -> Result[Target, Refusal]:
-    """Find what a ``model`` member names, among what the organisation may use."""
+def resolve_model(
+    config: Config, org: OrgRow, model: str
+) -> Result[ModelTarget, Refusal]:
+    """Find the service, model or version that ``model`` names.
+
+    Models and versions are found only if the organisation may use them.
+    """
     service = config.services.get(ServiceId(model))
     if service is not None and service.kind is ServiceKind.MODEL:
-        return Ok(Target(service, ""))
+        return Ok(ModelTarget(service, ""))
     for row in config.versions.values():
         if model in (row.name, row.model) and org.allows_version(row):
-            return Ok(Target(config.services[ServiceId(row.service)], model))
+            return Ok(ModelTarget(config.services[ServiceId(row.service)], model))
     allowed = ", ".join(org.allowed) or "nothing"
     detail = f"body $.model: {model!r} is not known here; allowed: {allowed}"
     return Err(Refusal(Problem.NOT_FOUND, detail))
@@ -241,25 +258,25 @@
 def read_session(
     router: Router, req: web.Request, org: OrgRow
 ) -> Result[SessionToken | None, Refusal]:
-    """Read the session's token or id."""
+    """Read the session header, which holds a token or a session id."""
     header = req.headers.get(SESSION_HEADER, "")
     if not header:
         return Ok(None)
     match router.signer.read(header, OrgId(org.name)):
         case Ok(token):
             return Ok(token)
-        case Err(bad):
-            detail = f"header {SESSION_HEADER}: {bad.reason}"
+        case Err(problem):
+            detail = f"header {SESSION_HEADER}: {problem.reason}"
             return Err(Refusal(Problem.BAD_REQUEST, detail))
 
 
 def read_timeout(router: Router, req: web.Request) -> Result[int, Refusal]:
-    """Read how long the caller waits, in ms."""
-    longest = router.settings.bounds.deadline_ms
+    """Return how long the caller waits for an answer, in ms."""
+    max_ms = router.settings.bounds.deadline_ms
     header = req.headers.get(TIMEOUT_HEADER, "")
     if not header:
-        return Ok(longest)
-    if not header.isdigit() or not 1 <= int(header) <= longest:
-        detail = f"header {TIMEOUT_HEADER}: {header!r}; allowed: 1 to {longest}"
+        return Ok(max_ms)
+    if not header.isdigit() or not 1 <= int(header) <= max_ms:
+        detail = f"header {TIMEOUT_HEADER}: {header!r}; allowed: 1 to {max_ms}"
         return Err(Refusal(Problem.BAD_REQUEST, detail))
     return Ok(int(header))
--- a/src/spanshunt/api_replies.py
+++ b/src/spanshunt/api_replies.py
@@ -1,4 +1,4 @@
-"""The way back to callers of the OpenAI front and of plain services."""
+"""Replies to callers of the OpenAI-compatible API and of plain services."""
 
 from aiohttp import web
 
@@ -12,14 +12,14 @@
 
 
 class ApiReply(HttpReply):
-    """The way back to one caller; refusals are problem documents.
+    """Reply to one caller, with problem documents as refusals.
 
     Parameters
     ----------
     req : web.Request
         The caller's request.
     request : str
-        Its id.
+        Request id.
     """
 
     def __init__(self, req: web.Request, request: RequestId) -> None:
@@ -27,11 +27,11 @@
         self._request = request
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Give a refusal of the system's own."""
+        """Send a refusal by the system itself."""
         self.response = refusal_response(refusal, self._request)
 
     async def end_incomplete(self, refusal: Refusal) -> None:
-        """End a stream with an event that says what became of the request."""
+        """End an unfinished stream with an error event that describes the refusal."""
         assert self.response is not None
         try:
             await self.response.write_eof(error_event(refusal, self._request))
--- a/src/spanshunt/callers.py
+++ b/src/spanshunt/callers.py
@@ -1,4 +1,4 @@
-"""The callers' API: models, plain services, health."""
+"""HTTP API for callers: chat completions, plain services, and health checks."""
 
 import asyncio
 import typing as t
@@ -43,7 +43,7 @@
 
 
 class ModelEntry(msgspec.Struct, frozen=True):
-    """A row of the list of models."""
+    """Entry of the model list."""
 
     id: str
     object: str = "model"
@@ -51,19 +51,19 @@
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """The list of models, as OpenAI's API gives it."""
+    """Model list in the format of the OpenAI API."""
 
     data: tuple[ModelEntry, ...]
     object: str = "list"
 
 
 class CallerApi:
-    """The handlers of the callers' API.
+    """HTTP handlers of the API for callers.
 
     Parameters
     ----------
     router : Router
-        The central object.
+        Holds the state of this box and the services that the handlers use.
     """
 
     def __init__(self, router: Router) -> None:
@@ -72,7 +72,7 @@
         self._plain_steps = plain_steps(router)
 
     def app(self) -> web.Application:
-        """Return the HTTP application."""
+        """Return the HTTP application with all routes."""
         bounds = self._router.settings.bounds
         app = web.Application(client_max_size=bounds.body_bytes)
         app.router.add_post("/v1/chat/completions", self._chat)
@@ -85,7 +85,7 @@
 
     async def _chat(self, req: web.Request) -> web.StreamResponse:
         request = new_request_id()
-        org = self._gate(req)
+        org = self._check_access(req)
         if isinstance(org, Err):
             return self._refuse(org.err_value, request)
         call = await read_chat(self._router, req, org.ok_value, request)
@@ -93,7 +93,7 @@
             return self._refuse(call.err_value, request)
         chat = call.ok_value
         reply = ApiReply(req, request)
-        return await self._run(
+        return await self._admit_and_answer(
             org.ok_value,
             reply,
             answer_chat(self._router, self._chat_steps, chat, reply),
@@ -102,22 +102,22 @@
 
     async def _service(self, req: web.Request) -> web.StreamResponse:
         request = new_request_id()
-        org = self._gate(req)
+        org = self._check_access(req)
         if isinstance(org, Err):
             return self._refuse(org.err_value, request)
-        call = await self._plain_call(req, org.ok_value, request)
+        call = await self._read_plain_call(req, org.ok_value, request)
         if isinstance(call, Err):
             return self._refuse(call.err_value, request)
         plain = call.ok_value
         reply = ApiReply(req, request)
-        return await self._run(
+        return await self._admit_and_answer(
             org.ok_value,
             reply,
             answer_call(self._router, self._plain_steps, plain, reply),
             request,
         )
 
-    async def _plain_call(
+    async def _read_plain_call(
         self, req: web.Request, org: OrgRow, request: RequestId
     ) -> Result[PlainCall, Refusal]:
         router = self._router
@@ -157,27 +157,28 @@
             )
         )
 
-    def _gate(self, req: web.Request) -> Result[OrgRow, Refusal]:
+    def _check_access(self, req: web.Request) -> Result[OrgRow, Refusal]:
+        """Check that this box is ready, and authenticate the caller."""
         ready = check_ready(self._router)
         if isinstance(ready, Err):
             return ready
         return authenticate(self._router, req)
 
-    async def _run(
+    async def _admit_and_answer(
         self,
         org: OrgRow,
         reply: ApiReply,
-        answering: t.Coroutine[t.Any, t.Any, None],
+        answer: t.Coroutine[t.Any, t.Any, None],
         request: RequestId,
     ) -> web.StreamResponse:
-        """Answer within the organisation's limits; count what it cost."""
+        """Answer if the organisation is within its limits, and record the cost."""
         router = self._router
-        taken = take_in(router, org, request)
-        if isinstance(taken, Err):
-            answering.close()
-            return self._refuse(taken.err_value, request)
+        admitted = take_in(router, org, request)
+        if isinstance(admitted, Err):
+            answer.close()
+            return self._refuse(admitted.err_value, request)
         try:
-            await answering
+            await answer
         except InvariantError as exc:
             router.on_broken(exc)
             raise
@@ -189,12 +190,12 @@
             cost = router.bills.take_cost(request)
             wall = router.clock.wall()
             finish_request(router.state.usage, OrgId(org.name), Micros(cost), wall)
-        # Without a response the connection is closing: the library drops this one.
+        # Without a response the connection is closing, and aiohttp discards this one.
         return reply.response or web.Response(status=Problem.BACKEND_FAILED.status)
 
     async def _models(self, req: web.Request) -> web.StreamResponse:
         request = new_request_id()
-        org = self._gate(req)
+        org = self._check_access(req)
         if isinstance(org, Err):
             return self._refuse(org.err_value, request)
         rows = self._router.state.config.versions.values()
--- a/src/spanshunt/chat_answers.py
+++ b/src/spanshunt/chat_answers.py
@@ -1,4 +1,4 @@
-"""Answers of model engines: checked, held back or passed on, and billed."""
+"""Answers of model engines: check, escalate or deliver them, and bill the request."""
 
 from multidict import CIMultiDict
 from result import Err
@@ -30,68 +30,71 @@
 from .systems.journaling import priced_usage
 
 REFUSAL_BYTES = 500
-"""So much of an engine's refusal is told to the caller, in bytes."""
+"""Maximum part of an engine's error answer that is sent to the caller, in bytes."""
 
 
 async def use_answer(
     router: Router,
     state: ChatRequest,
     attempt: ChatAttempt,
-    found: Answer,
+    answer: Answer,
     reply: Reply,
 ) -> Ending:
-    """Pass an answer on once it is billed, or leave it for a dearer version's."""
-    if found.status >= 500:
-        raise BrokenAnswerError(f"answers {found.status}")
-    if found.status != 200:
-        text = (await found.read())[:REFUSAL_BYTES].decode(errors="replace")
+    """Bill and deliver an answer, or discard it to ask a more expensive version."""
+    if answer.status >= 500:
+        raise BrokenAnswerError(f"answered with status {answer.status}")
+    if answer.status != 200:
+        text = (await answer.read())[:REFUSAL_BYTES].decode(errors="replace")
         state.refused = Refusal(Problem.BAD_REQUEST, text, Run.UNKNOWN)
         return Ending.REFUSED
     state.version = attempt.choice.version
     if state.call.fields.stream:
-        ending = await _relay(router, state, attempt, found, reply)
+        ending = await _deliver_stream(router, state, attempt, answer, reply)
     else:
-        ending = await _pass_whole(router, state, attempt, found, reply)
+        ending = await _deliver_whole(router, state, attempt, answer, reply)
     note_whole(router, state, attempt)
     return ending
 
 
-async def _relay(
+async def _deliver_stream(
     router: Router,
     state: ChatRequest,
     attempt: ChatAttempt,
-    found: Answer,
+    answer: Answer,
     reply: Reply,
 ) -> Ending:
-    """Pass a stream on, event by event, and end it once it is billed."""
+    """Forward a stream event by event, and end it after the request is billed.
+
+    A stream that may be escalated is held back until it is complete.
+    """
     stream = EventStream(pass_usage=state.call.fields.pass_usage)
     held_back = bool(attempt.choice.fallback)
     keep = held_back or router.rng.random() < attempt.choice.rate
-    while block := await found.next_block():
-        fed = stream.feed(block)
-        if isinstance(fed, Err):
-            raise BrokenAnswerError(f"sent {fed.err_value.value}")
-        out = fed.ok_value
-        if not out:
+    while block := await answer.next_block():
+        checked = stream.feed(block)
+        if isinstance(checked, Err):
+            raise BrokenAnswerError(f"sent {checked.err_value.value}")
+        events = checked.ok_value
+        if not events:
             continue
         if not attempt.first:
             attempt.first = router.clock.now()
         if keep:
-            attempt.text.append(out)
+            attempt.text.append(events)
         if not held_back:
-            await _begin(router, state, attempt, reply)
-            await reply.write(out)
+            await _begin_stream(router, state, attempt, reply)
+            await reply.write(events)
     attempt.ended = router.clock.now()
     end = stream.finish()
     if isinstance(end, Err):
         raise BrokenAnswerError(f"sent {end.err_value.value}")
     attempt.usage = stream.usage
-    _itemise(router, state, attempt)
-    if _escalates(state, attempt):
+    _add_usage(router, state, attempt)
+    if _escalate_if_unsure(state, attempt):
         return Ending.BETTER
     check(OWN_ANSWER, stream.usage is not None, f"{state.request} has no usage")
     await _bill(router, state)
-    await _begin(router, state, attempt, reply)
+    await _begin_stream(router, state, attempt, reply)
     if held_back:
         await reply.write(b"".join(attempt.text))
     await reply.write(end.ok_value)
@@ -101,21 +104,21 @@
     return Ending.DELIVERED
 
 
-async def _pass_whole(
+async def _deliver_whole(
     router: Router,
     state: ChatRequest,
     attempt: ChatAttempt,
-    found: Answer,
+    answer: Answer,
     reply: Reply,
 ) -> Ending:
-    body = await found.read()
+    body = await answer.read()
     attempt.first = attempt.ended = router.clock.now()
     checked = check_whole(body)
     if isinstance(checked, Err):
         raise BrokenAnswerError(f"sent {checked.err_value.value}")
     attempt.usage = checked.ok_value
-    _itemise(router, state, attempt)
-    if _escalates(state, attempt):
+    _add_usage(router, state, attempt)
+    if _escalate_if_unsure(state, attempt):
         return Ending.BETTER
     await _bill(router, state)
     if router.rng.random() < attempt.choice.rate:
@@ -126,10 +129,10 @@
     return Ending.DELIVERED
 
 
-async def _begin(
+async def _begin_stream(
     router: Router, state: ChatRequest, attempt: ChatAttempt, reply: Reply
 ) -> None:
-    """Give the head of a stream, unless the caller has it already."""
+    """Send the head of a stream, unless it was sent already."""
     if reply.begun:
         return
     headers = await _headers(router, state, attempt)
@@ -157,7 +160,8 @@
     return headers
 
 
-def _itemise(router: Router, state: ChatRequest, attempt: ChatAttempt) -> None:
+def _add_usage(router: Router, state: ChatRequest, attempt: ChatAttempt) -> None:
+    """Price the usage of an answer and add it to the request's usage."""
     row = router.state.config.versions[attempt.choice.version]
     usage = attempt.usage
     if usage is not None:
@@ -166,8 +170,11 @@
         )
 
 
-def _escalates(state: ChatRequest, attempt: ChatAttempt) -> bool:
-    """Tell whether a held back answer is not good enough to be given."""
+def _escalate_if_unsure(state: ChatRequest, attempt: ChatAttempt) -> bool:
+    """Switch to the fallback version if the engine is unsure of its answer.
+
+    Returns whether it did so; the answer is then discarded.
+    """
     fallback = attempt.choice.fallback
     usage = attempt.usage
     if not fallback or usage is None or is_sure(usage):
--- a/src/spanshunt/chat_state.py
+++ b/src/spanshunt/chat_state.py
@@ -1,4 +1,4 @@
-"""Model requests of the OpenAI front under way."""
+"""State of model requests to the OpenAI-compatible API."""
 
 import msgspec
 
@@ -13,18 +13,19 @@
 
 
 class ChatAttempt(Attempt, kw_only=True):
-    """One attempt on one worker.
+    """One attempt of a model request on one worker.
 
     Attributes
     ----------
     choice : Choice
-        The version, and why it was chosen.
+        The version, and the rule by which it was chosen.
     first, ended : int
-        When its first byte came and when it ended, in ms.
+        When the first event of the answer arrived and when the answer was complete, in
+        ms of the monotonic clock; 0 until then.
     usage : TokenUsage or None
-        What it used.
+        Tokens that the engine counted; None until it reports them.
     text : list of bytes
-        The answer, kept if it is held back or rated.
+        Checked events of a streamed answer that is held back or rated.
     """
 
     choice: Choice
@@ -35,16 +36,16 @@
 
 
 class ChatRequest(RequestState, kw_only=True):
-    """A model request.
+    """State of a model request.
 
     Attributes
     ----------
     call : ChatCall
-        What is asked for.
+        The request.
     usage : list of Usage
-        What finished attempts used.
+        Usage of the complete answers so far, including discarded ones.
     forced : str
-        The version that an escalation goes to; empty for none.
+        The version to use after an escalation; empty for none.
     """
 
     call: ChatCall
--- a/src/spanshunt/http_replies.py
+++ b/src/spanshunt/http_replies.py
@@ -1,4 +1,4 @@
-"""The way back to one caller over HTTP."""
+"""Replies to callers over HTTP."""
 
 from aiohttp import web
 from multidict import CIMultiDict
@@ -7,14 +7,14 @@
 
 
 class HttpReply(Reply):
-    """What all fronts share; how a refusal looks is each front's own.
+    """Reply to one caller; each front end adds its own format of refusals.
 
     Attributes
     ----------
     begun : bool
-        Whether the caller has any byte of it.
+        Whether the head of a stream was sent to the caller.
     response : StreamResponse or None
-        What a handler returns.
+        The response that the handler returns; None before a reply was begun.
 
     Parameters
     ----------
@@ -30,19 +30,19 @@
     async def send_whole(
         self, status: int, headers: CIMultiDict[str], body: bytes
     ) -> None:
-        """Give a whole answer."""
+        """Send a complete answer."""
         self.response = web.Response(status=status, headers=headers, body=body)
         self._before_head(self.response)
 
     async def begin(self, status: int, headers: CIMultiDict[str]) -> None:
-        """Give the head of a stream."""
+        """Send the head of a stream."""
         self.response = web.StreamResponse(status=status, headers=headers)
         self._before_head(self.response)
         self.begun = True
         await self.response.prepare(self._req)
 
     async def write(self, block: bytes) -> None:
-        """Give more of a stream."""
+        """Send the next bytes of a stream."""
         assert self.response is not None
         await self.response.write(block)
 
@@ -52,9 +52,9 @@
         await self.response.write_eof()
 
     def abort(self) -> None:
-        """End the connection."""
+        """Close the connection without any further message to the caller."""
         if self._req.transport is not None:
             self._req.transport.close()
 
     def _before_head(self, response: web.StreamResponse) -> None:
-        """Change a response just before its head leaves."""
+        """Change the response before its head is sent; subclasses may override this."""
--- a/src/spanshunt/http_sends.py
+++ b/src/spanshunt/http_sends.py
@@ -1,4 +1,4 @@
-"""Sends to workers over HTTP, and their answers as they are read."""
+"""HTTP requests to workers, and reading of their answers."""
 
 import errno
 import typing as t
@@ -19,26 +19,25 @@
 from .tables.notices import Notice
 
 READ_BYTES_MOST = 16_777_216
-"""Longest answer that is read whole before it is given, in bytes: a box has some 100 MB
-in all. Longer ones must be streams."""
+"""Maximum length in bytes of an answer that is read completely before it is forwarded.
+A box has about 100 MB of memory in all; longer answers must be streams."""
 
-
-_SKIPPED = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+_NO_DEFAULT_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class HttpSend(msgspec.Struct, frozen=True):
-    """One send: what and where to.
+    """One HTTP request to a worker.
 
     Attributes
     ----------
     method : str
-        The HTTP method.
+        HTTP method.
     url : URL
-        Where to, with path and query as they came.
+        Address of the worker, with path and query as received.
     headers : CIMultiDict
-        All headers.
+        All headers of the request.
     body : bytes
-        The body; empty for none.
+        The complete body; empty for none.
     """
 
     method: str
@@ -50,16 +49,16 @@
 def worker_session(
     connector: aiohttp.TCPConnector, connect_s: float, **options: t.Any
 ) -> aiohttp.ClientSession:
-    """Return a session for :func:`send_http`: it changes no body and never sends again.
+    """Return a session for :func:`send_http`, which changes no body and never retries.
 
     Parameters
     ----------
     connector : aiohttp.TCPConnector
-        Opens and keeps the connections.
+        Opens the connections and keeps them for reuse.
     connect_s : float
-        How long one may take to come up, in s.
+        Timeout for opening a connection, in s.
     **options
-        Further ones of the session.
+        Further options of ``aiohttp.ClientSession``.
     """
     session = aiohttp.ClientSession(
         connector=connector,
@@ -67,8 +66,8 @@
         auto_decompress=False,
         **options,
     )
-    # The library sends again by itself when a kept connection breaks, PUT and DELETE,
-    # too; what may be repeated is decided by the request path alone.
+    # aiohttp retries by itself when a reused connection breaks, even PUT and DELETE.
+    # Only the request path may decide what is repeated.
     session._retry_connection = False
     return session
 
@@ -76,21 +75,21 @@
 def without(
     headers: t.Mapping[str, str], dropped: t.Collection[str]
 ) -> CIMultiDict[str]:
-    """Return the headers that travel on; `dropped` are named in lower case."""
+    """Return the headers other than those in `dropped`, which are in lower case."""
     return CIMultiDict(
         (name, value) for name, value in headers.items() if name.lower() not in dropped
     )
 
 
 class HttpAnswer(Answer):
-    """An answer that is being read from a connection.
+    """Answer of a worker, read from its connection.
 
     Parameters
     ----------
     resp : aiohttp.ClientResponse
-        Its head, read.
+        Response whose head has been read.
     headers : CIMultiDict
-        What travels back to the caller.
+        Headers forwarded to the caller.
     """
 
     def __init__(self, resp: aiohttp.ClientResponse, headers: CIMultiDict[str]) -> None:
@@ -105,7 +104,7 @@
         self.notice = Notice()
 
     async def read(self) -> bytes:
-        """Return the whole body, or raise ``BrokenAnswerError``."""
+        """Return the complete body, or raise ``BrokenAnswerError``."""
         blocks = []
         size = 0
         while block := await self.next_block():
@@ -116,14 +115,14 @@
         return b"".join(blocks)
 
     async def next_block(self) -> bytes:
-        """Return the next bytes, empty at the end, or raise ``BrokenAnswerError``."""
+        """Return the next bytes (empty at the end) or raise ``BrokenAnswerError``."""
         try:
             return await self._resp.content.readany()
         except (aiohttp.ClientError, OSError) as exc:
             raise TruncatedAnswerError(f"body: {type(exc).__name__}") from exc
 
     def close(self) -> None:
-        """Let go of it; one that is not read to its end is cut off at the worker."""
+        """Release the answer, cancelling it at the worker if it is not fully read."""
         self._resp.close()
 
 
@@ -135,11 +134,11 @@
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Whose connections to use; it must not send again by itself.
+        Session whose connections are used; it must not retry by itself.
     send : HttpSend
-        What to send.
+        The request.
     kept : bool
-        Whether the session uses connections again, which workers may have forgotten.
+        Whether the session reuses connections, which workers may have closed.
     """
     try:
         resp = await session.request(
@@ -147,14 +146,14 @@
             send.url,
             headers=send.headers,
             data=send.body or None,
-            skip_auto_headers=_SKIPPED,
+            skip_auto_headers=_NO_DEFAULT_HEADERS,
             allow_redirects=False,
         )
     except aiohttp.ClientConnectorError as exc:
         refused = exc.os_error.errno == errno.ECONNREFUSED
         return Err(SendFault(True, f"not reached: {exc.os_error}", refused=refused))
     except aiohttp.ConnectionTimeoutError:
-        return Err(SendFault(True, "not reached: the connection did not come up"))
+        return Err(SendFault(True, "not reached: timeout while connecting"))
     except (aiohttp.ServerDisconnectedError, aiohttp.ClientOSError) as exc:
         return Err(SendFault(False, f"{type(exc).__name__}: {exc}", kept))
     except (aiohttp.ClientError, OSError, ValueError) as exc:
--- a/src/spanshunt/model_calls.py
+++ b/src/spanshunt/model_calls.py
@@ -1,4 +1,4 @@
-"""Model requests of the OpenAI front: what each step of their path does."""
+"""Steps of the request path for model requests to the OpenAI-compatible API."""
 
 from functools import partial
 
@@ -36,13 +36,14 @@
 from .systems.worker_choice import estimated_load
 
 MOST_ATTEMPTS = 3
-"""Attempts of one version before the first byte of the answer, on different workers."""
+"""Attempts with one version before the first byte of the answer, on different
+workers."""
 
 FULL_LOAD = 3.0
-"""A worker with this many batches of work is not given more."""
+"""Load, in batches, from which a worker gets no further requests."""
 
 NOT_RUN_STATUSES = frozenset({404, 503})
-"""An engine answers these when it lacks the version or has no room: nothing ran."""
+"""Statuses of an engine that lacks the version or has no capacity; it ran nothing."""
 
 _ENGINE_PATH = "/v1/chat/completions"
 _RETRY_MS = Millis(1_000)
@@ -51,7 +52,7 @@
 
 
 def chat_steps(router: Router) -> ChatSteps:
-    """Return the steps of model requests."""
+    """Return the steps for model requests."""
     return Steps(
         clock=router.clock,
         count=router.metrics.count,
@@ -65,7 +66,7 @@
             router, state, attempt, str(exc)
         ),
         note_late=lambda state, attempt: note_failed(
-            router, state, attempt, "no whole answer by the caller's deadline"
+            router, state, attempt, "no complete answer by the caller's deadline"
         ),
         may_go_on=lambda state: len(state.tried) < MOST_ATTEMPTS,
         retry_ms=lambda _state: _RETRY_MS,
@@ -75,7 +76,7 @@
 async def answer_chat(
     router: Router, steps: ChatSteps, call: ChatCall, reply: Reply
 ) -> None:
-    """Answer a model request, whatever happens on the way."""
+    """Answer a model request, or refuse it if no attempt succeeds."""
     if call.session is not None and not call.asked.pin:
         pin = await find_pin(router, call)
         call.asked = msgspec.structs.replace(call.asked, pin=pin)
@@ -93,11 +94,11 @@
 
 
 def _plan(router: Router, state: ChatRequest) -> Result[ChatAttempt, Refusal]:
-    """Choose version and worker on the tables as they are now."""
+    """Choose version and worker from the current tables."""
     tables, asked = router.state, state.call.asked
     if asked.org not in tables.config.orgs:
-        return Err(Refusal(Problem.NOT_ALLOWED, "the organisation is gone"))
-    chosen = _choose(router, state)
+        return Err(Refusal(Problem.NOT_ALLOWED, "the organisation was removed"))
+    chosen = _choose_version(router, state)
     if isinstance(chosen, Err):
         return chosen
     choice = chosen.ok_value
@@ -105,16 +106,16 @@
         tables.workers, asked.service, choice.version, state.tried, router.rng
     )
     if not rows:
-        detail = f"no worker that holds {choice.version} takes work now"
+        detail = f"no worker that holds {choice.version} accepts requests now"
         return Err(Refusal(Problem.NO_WORKER, detail, retry_ms=_RETRY_MS))
     worker = router.picker(rows)
     if estimated_load(worker) >= FULL_LOAD:
-        detail = f"the workers that hold {choice.version} are full"
+        detail = f"the workers that hold {choice.version} are at capacity"
         return Err(Refusal(Problem.OVERLOADED, detail, retry_ms=_RETRY_MS))
     return Ok(ChatAttempt(worker=worker, model=ModelId(choice.version), choice=choice))
 
 
-def _choose(router: Router, state: ChatRequest) -> Result[Choice, Refusal]:
+def _choose_version(router: Router, state: ChatRequest) -> Result[Choice, Refusal]:
     tables = router.state
     asked = state.call.asked
     if state.forced:
@@ -141,7 +142,7 @@
 
 
 def _before_send(router: Router, state: ChatRequest, attempt: ChatAttempt) -> None:
-    """Check what must hold of an attempt, and log what it rests on."""
+    """Check the invariants of an attempt, and log the data it was decided on."""
     tables, asked = router.state, state.call.asked
     version = attempt.choice.version
     check_version(tables.config, asked.org, version)
@@ -190,19 +191,23 @@
 def _note_fault(
     router: Router, state: ChatRequest, attempt: ChatAttempt, fault: SendFault
 ) -> None:
-    """Take in a failed send; a forgotten connection says nothing of its worker."""
+    """Record a failed send, except on a reused connection that the worker closed.
+
+    Workers close idle connections, so that is no sign of a fault.
+    """
     if not fault.stale:
         note_failed(router, state, attempt, fault.detail)
 
 
 def _note_head(
-    router: Router, state: ChatRequest, attempt: ChatAttempt, found: Answer
+    router: Router, state: ChatRequest, attempt: ChatAttempt, answer: Answer
 ) -> None:
-    if found.not_run:
-        note_failed(router, state, attempt, f"answers {found.status}")
+    if answer.not_run:
+        note_failed(router, state, attempt, f"answered with status {answer.status}")
 
 
 def _engine_body(call: ChatCall, version: VersionId) -> bytes:
+    """Return the request body with the version as its model, asking for usage."""
     body = dict(call.raw)
     body["model"] = msgspec.Raw(msgspec.json.encode(version))
     if call.fields.stream:
--- a/src/spanshunt/plain_calls.py
+++ b/src/spanshunt/plain_calls.py
@@ -1,4 +1,7 @@
-"""Calls of plain services: sent once where they may not be repeated."""
+"""Steps of the request path for calls of plain services.
+
+A call that is not repeatable is sent at most once to a worker that may run it.
+"""
 
 from functools import partial
 
@@ -46,35 +49,36 @@
 
 KEY_HEADER = "Idempotency-Key"
 MAX_KEY = 200
-"""The longest caller's key, in characters."""
+"""Maximum length of an idempotency key, in characters."""
 
 MOST_ATTEMPTS = 3
-"""Workers tried while it is certain that none ran the call."""
+"""Maximum number of workers tried, as long as none may have run the call."""
 
 _RETRY_MS = Millis(1_000)
 
 
 class PlainCall(msgspec.Struct, frozen=True):
-    """A call of a plain service, as it came.
+    """A call of a plain service, as received.
 
     Attributes
     ----------
     request, org : str
-        Its id and who asks.
+        Request id, and the organisation that makes the call.
     service : ServiceRow
         The service.
     method, path : str
-        The HTTP method, and path and query at the service.
+        HTTP method, and path with query, relative to the service.
     headers : CIMultiDict
         The caller's headers.
     body : bytes
-        The body, whole.
+        The complete body.
     repeatable : bool
-        Whether it may be sent twice.
+        Whether it may be sent again after a worker may have run it.
     key : str
-        The caller's key; empty for none.
+        The caller's idempotency key; empty for none.
     began, deadline : int
-        In ms of the monotonic clock.
+        When the call arrived and when the caller stops waiting, in ms of the
+        monotonic clock.
     """
 
     request: RequestId
@@ -91,14 +95,14 @@
 
 
 class PlainRequest(RequestState, kw_only=True):
-    """A call of a plain service under way.
+    """State of a call of a plain service.
 
     Attributes
     ----------
     call : PlainCall
-        What is asked for.
+        The call.
     claimed : str
-        The claim's key, once won.
+        Key of the claim that the call won; empty for none.
     """
 
     call: PlainCall
@@ -109,7 +113,7 @@
 
 
 def plain_steps(router: Router) -> PlainSteps:
-    """Return the steps of calls of plain services."""
+    """Return the steps for calls of plain services."""
     return Steps(
         clock=router.clock,
         count=router.metrics.count,
@@ -119,10 +123,10 @@
         note_head=lambda _state, _attempt, _found: None,
         use=partial(_use, router),
         note_fault=partial(_note_fault, router),
-        note_bad=lambda state, attempt, exc: _note_failed(
+        note_bad=lambda state, attempt, exc: _record_failed_attempt(
             router, state, attempt, str(exc)
         ),
-        note_late=lambda state, attempt: _note_failed(
+        note_late=lambda state, attempt: _record_failed_attempt(
             router, state, attempt, "no answer by the caller's deadline"
         ),
         may_go_on=lambda state: (
@@ -135,7 +139,11 @@
 async def answer_call(
     router: Router, steps: PlainSteps, call: PlainCall, reply: Reply
 ) -> None:
-    """Answer a call of a plain service."""
+    """Answer a call of a plain service.
+
+    A call with an idempotency key runs only if it wins the claim of that key; otherwise
+    it gets the stored answer or a refusal.
+    """
     state = PlainRequest(
         request=call.request,
         org=call.org,
@@ -149,7 +157,7 @@
     if call.key and not call.repeatable:
         match await _claim(router, call):
             case Ok(Repeat(answer=answer)):
-                await _repeat(reply, answer)
+                await _send_stored_answer(reply, answer)
                 return
             case Ok(Won(key=key)):
                 state.claimed = key
@@ -162,7 +170,7 @@
 
 
 def check_key(key: str) -> Result[str, Refusal]:
-    """Check a caller's key."""
+    """Check an idempotency key for length and characters."""
     if len(key) <= MAX_KEY and key.isprintable():
         return Ok(key)
     detail = f"header {KEY_HEADER}: up to {MAX_KEY} printable characters are allowed"
@@ -174,8 +182,8 @@
     return await router.claimer.claim(call.org, service, call.key, call.request)
 
 
-async def _repeat(reply: Reply, answer: CallAnswer) -> None:
-    """Give the answer that the call with the same key got."""
+async def _send_stored_answer(reply: Reply, answer: CallAnswer) -> None:
+    """Send the stored answer of the earlier call with the same key."""
     headers = CIMultiDict({"Spanshunt-Repeated": "true"})
     if answer.content_type:
         headers["Content-Type"] = answer.content_type
@@ -189,12 +197,12 @@
     )
     if rows:
         return Ok(Attempt(worker=router.picker(rows)))
-    detail = "no worker takes calls now"
+    detail = "no worker accepts calls now"
     return Err(Refusal(Problem.NO_WORKER, detail, Run.NO, _RETRY_MS))
 
 
 def _before_send(router: Router, state: PlainRequest, attempt: Attempt) -> None:
-    """Check what must hold of a send, note it with the claim, and log it."""
+    """Check the invariants of a send, mark its claim as sent, and log it."""
     tables, worker = router.state, attempt.worker
     check_service(tables.config, state.org, ServiceId(state.call.service.name))
     check_worker(tables.workers, worker.name)
@@ -235,31 +243,31 @@
 
 
 async def _use(
-    router: Router, state: PlainRequest, attempt: Attempt, found: Answer, reply: Reply
+    router: Router, state: PlainRequest, attempt: Attempt, answer: Answer, reply: Reply
 ) -> Ending:
-    """Give the answer, whatever its status, once it is whole and billed."""
-    body = await found.read()
+    """Send the answer, whatever its status, after it is complete and billed."""
+    body = await answer.read()
     await _bill(router, state)
     record_success(attempt.worker, router.clock.now() - attempt.sent, 0.0)
     if state.claimed:
-        content_type = found.headers.get("Content-Type", "")
-        answer = CallAnswer(found.status, content_type, body)
-        router.claimer.mark_done(state.request, answer)
-    await reply.send_whole(found.status, found.headers, body)
+        content_type = answer.headers.get("Content-Type", "")
+        stored = CallAnswer(answer.status, content_type, body)
+        router.claimer.mark_done(state.request, stored)
+    await reply.send_whole(answer.status, answer.headers, body)
     return Ending.DELIVERED
 
 
 def _note_fault(
     router: Router, state: PlainRequest, attempt: Attempt, fault: SendFault
 ) -> None:
-    """Take in a failed send; where no byte left, the claim is as before it."""
+    """Record a failed send; if no byte was sent, the claim counts as unsent again."""
     if fault.unreached and state.claimed:
         router.claimer.mark_unsent(state.request)
     if not fault.stale:
-        _note_failed(router, state, attempt, fault.detail)
+        _record_failed_attempt(router, state, attempt, fault.detail)
 
 
-def _note_failed(
+def _record_failed_attempt(
     router: Router, state: PlainRequest, attempt: Attempt, detail: str
 ) -> None:
     worker = attempt.worker
--- a/src/spanshunt/refusal_responses.py
+++ b/src/spanshunt/refusal_responses.py
@@ -1,4 +1,4 @@
-"""Refusals on the wire: RFC 9457 problem documents that say whether the request ran."""
+"""Refusals as RFC 9457 problem documents, which state whether the request ran."""
 
 import math
 
@@ -26,6 +26,6 @@
 
 
 def error_event(refusal: Refusal, request: RequestId) -> bytes:
-    """Return the event that ends a stream which can't be finished."""
+    """Return the error event that ends an unfinished stream."""
     body = msgspec.json.encode(document(refusal, request))
     return b"event: error\ndata: " + body + b"\n\n"
--- a/src/spanshunt/refusals.py
+++ b/src/spanshunt/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals as values: what was wrong, and whether the request ran."""
+"""Refusals: why a request is not answered, and whether it ran."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class Run(enum.Enum):
-    """Whether a refused request ran."""
+    """Whether a worker ran the refused request."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -17,7 +17,7 @@
 
 
 class Problem(enum.Enum):
-    """What kinds of refusal there are, with their HTTP status."""
+    """Kind of a refusal, with its slug and HTTP status."""
 
     BAD_REQUEST = ("bad-request", 400)
     BAD_CREDENTIAL = ("bad-credential", 401)
@@ -38,28 +38,28 @@
 
     @property
     def slug(self) -> str:
-        """The last part of the problem's type."""
+        """The last part of the ``type`` of the problem document."""
         return self.value[0]
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status of the response."""
         return self.value[1]
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A refusal as a value.
+    """Refusal of a request, independent of its format on the wire.
 
     Attributes
     ----------
     problem : Problem
-        Its kind.
+        Kind of the refusal.
     detail : str
-        What was found and what is allowed, for the caller.
+        Message to the caller: what was found and what is allowed.
     run : Run
         Whether the request ran.
     retry_ms : int or None
-        When to come back, in ms.
+        Time after which the caller may retry, in ms; None to give none.
     """
 
     problem: Problem
@@ -69,7 +69,7 @@
 
 
 class ProblemDocument(msgspec.Struct, frozen=True):
-    """The document as callers get it."""
+    """Problem document (RFC 9457) as sent to callers."""
 
     type: str
     title: str
--- a/src/spanshunt/sse.py
+++ b/src/spanshunt/sse.py
@@ -1,9 +1,9 @@
-"""Checks on a model engine's event stream, without parsing its tokens.
+"""Validation of a model engine's event stream, without decoding its tokens.
 
-Every event of an OpenAI-compatible stream begins with the same ``data: {"id":"…"``.
-Inside JSON strings quotes are escaped, so this prefix and the blank line that ends an
-event can't occur in a token's text: counting both in a block of bytes is enough to see
-that each event in it belongs to this answer.
+All events of an OpenAI-compatible stream begin with the same ``data: {"id":"…"``. JSON
+escapes quotes and line breaks in strings, so neither this prefix nor the blank line
+that ends an event can occur in a token's text. A block of bytes that contains both
+equally often therefore contains only events of this answer.
 """
 
 import enum
@@ -19,11 +19,11 @@
 _USAGE = b'"usage":{'
 _PREFIX_START = b'data: {"id":"'
 MAX_EVENT_BYTES = 1_048_576
-"""The longest event that is taken in."""
+"""Maximum length of an event."""
 
 
 class Flaw(enum.Enum):
-    """What is wrong with a stream."""
+    """Reason why an answer is invalid."""
 
     FOREIGN = "an event of another answer"
     MALFORMED = "an event that is not one"
@@ -34,14 +34,14 @@
 
 
 class TokenUsage(msgspec.Struct, frozen=True):
-    """The engine's count of tokens.
+    """Token counts reported by an engine.
 
     Attributes
     ----------
     prompt_tokens, completion_tokens : int
-        Tokens read and generated.
+        Tokens of the prompt and of the answer.
     confidence : float or None
-        How sure the engine is of the answer, from 0 to 1, where it says so.
+        Confidence of the engine in the answer, in 0 to 1; None if it reports none.
     """
 
     prompt_tokens: int
@@ -54,16 +54,16 @@
 
 
 class EventStream:
-    """The check of one answer's stream.
+    """Validator of the event stream of one answer.
 
-    :meth:`feed` gives the bytes that may go on to the caller: whole events only. The
-    usage event and the end mark are held back, so that the caller sees the end only
-    when the answer was billed.
+    :meth:`feed` returns the bytes that may be sent to the caller, always complete
+    events. The usage event and the end mark are held back until :meth:`finish`, so that
+    the caller sees the end only after the answer was billed.
 
     Parameters
     ----------
     pass_usage : bool
-        Whether the caller asked for the usage event.
+        Whether the usage event is sent to the caller.
     """
 
     def __init__(self, *, pass_usage: bool) -> None:
@@ -72,40 +72,42 @@
         self._pass_usage = pass_usage
         self._prefix = b""
         self._partial = b""
-        self._tail = b""
+        self._usage_event = b""
         self._ended = False
 
     def feed(self, block: bytes) -> Result[bytes, Flaw]:
-        """Take bytes in; return the events that may go on."""
+        """Validate received bytes; return the events that may be sent to the caller."""
         if self._ended:
             return Err(Flaw.AFTER_END) if block.strip() else Ok(b"")
         if self._partial:
             block = self._partial + block
-        cut = block.rfind(_END) + len(_END)
-        if cut < len(_END):
+        end = block.rfind(_END) + len(_END)
+        if end < len(_END):
             self._partial = block
-            return self._wait()
-        if cut == len(block):
+            return self._check_partial()
+        if end == len(block):
             events, self._partial = block, b""
         else:
-            events, self._partial = block[:cut], block[cut:]
-        return self._check(events)
+            events, self._partial = block[:end], block[end:]
+        return self._check_events(events)
 
     def finish(self) -> Result[bytes, Flaw]:
-        """Return the held back end of a whole stream, or what is wrong with it."""
+        """Return the held-back end of the stream, if the stream is complete."""
         if not self._ended or self._partial:
             return Err(Flaw.TRUNCATED)
         if self.usage is None:
             return Err(Flaw.UNACCOUNTED)
-        return Ok(self._tail + _DONE)
+        return Ok(self._usage_event + _DONE)
 
-    def _wait(self) -> Result[bytes, Flaw]:
+    def _check_partial(self) -> Result[bytes, Flaw]:
+        """Check the length of the incomplete event; none of it may be sent yet."""
         if len(self._partial) > MAX_EVENT_BYTES:
             return Err(Flaw.TOO_LONG)
         return Ok(b"")
 
-    def _check(self, events: bytes) -> Result[bytes, Flaw]:
-        if not self._prefix and not self._learn_prefix(events):
+    def _check_events(self, events: bytes) -> Result[bytes, Flaw]:
+        """Validate complete events together, or singly if that is not enough."""
+        if not self._prefix and not self._set_prefix(events):
             return self._check_each(events)
         count = events.count(_END)
         if count != events.count(self._prefix) or _USAGE in events:
@@ -113,52 +115,53 @@
         self.events += count
         return Ok(events)
 
-    def _learn_prefix(self, events: bytes) -> bool:
+    def _set_prefix(self, events: bytes) -> bool:
+        """Set the prefix of this answer's events; return whether there is one."""
         if not events.startswith(_PREFIX_START):
             return False
-        close = events.find(b'"', len(_PREFIX_START))
-        if close < 0:
+        end = events.find(b'"', len(_PREFIX_START))
+        if end < 0:
             return False
-        self._prefix = events[: close + 1]
+        self._prefix = events[: end + 1]
         return True
 
     def _check_each(self, events: bytes) -> Result[bytes, Flaw]:
-        passed = []
+        checked = []
         for event in events.split(_END)[:-1]:
-            match self._check_one(event):
-                case Ok(kept):
-                    passed.append(kept)
+            match self._check_event(event):
+                case Ok(passed):
+                    checked.append(passed)
                 case Err(flaw):
                     return Err(flaw)
-        return Ok(b"".join(passed))
+        return Ok(b"".join(checked))
 
-    def _check_one(self, event: bytes) -> Result[bytes, Flaw]:
-        whole = event + _END
+    def _check_event(self, event: bytes) -> Result[bytes, Flaw]:
+        terminated = event + _END
         if self._ended:
             return Err(Flaw.AFTER_END)
         if event.startswith(b":"):
             return Ok(b"")
-        if whole == _DONE:
+        if terminated == _DONE:
             self._ended = True
             return Ok(b"")
-        if not self._prefix and not self._learn_prefix(whole):
+        if not self._prefix and not self._set_prefix(terminated):
             return Err(Flaw.MALFORMED)
         if not event.startswith(self._prefix):
             foreign = event.startswith(_DATA)
             return Err(Flaw.FOREIGN if foreign else Flaw.MALFORMED)
         self.events += 1
         if _USAGE in event:
-            return self._take_usage(event)
-        return Ok(whole)
+            return self._read_usage(event)
+        return Ok(terminated)
 
-    def _take_usage(self, event: bytes) -> Result[bytes, Flaw]:
+    def _read_usage(self, event: bytes) -> Result[bytes, Flaw]:
         try:
             data = event[len(_DATA) :]
             self.usage = msgspec.json.decode(data, type=_UsageEvent).usage
         except msgspec.MsgspecError:
             return Err(Flaw.MALFORMED)
         if self._pass_usage:
-            self._tail = event + _END
+            self._usage_event = event + _END
         return Ok(b"")
 
 
@@ -173,14 +176,14 @@
 
 
 def check_whole(body: bytes) -> Result[TokenUsage, Flaw]:
-    """Check an answer that is not streamed; return its usage."""
+    """Validate an answer that is not streamed; return its usage."""
     try:
-        whole = msgspec.json.decode(body, type=_WholeAnswer)
+        answer = msgspec.json.decode(body, type=_WholeAnswer)
     except msgspec.MsgspecError:
         return Err(Flaw.MALFORMED)
-    if not whole.choices:
+    if not answer.choices:
         return Err(Flaw.TRUNCATED)
-    return Ok(whole.usage)
+    return Ok(answer.usage)
 
 
 class _Delta(msgspec.Struct, frozen=True):
@@ -196,7 +199,7 @@
 
 
 def text_of_stream(blocks: list[bytes]) -> str:
-    """Return the text of a stream's events; used only for answers that are rated."""
+    """Return the text of a stream's events, to be rated."""
     parts: list[str] = []
     for event in b"".join(blocks).split(_END):
         if not event.startswith(_DATA) or event == _DONE.strip():
@@ -219,6 +222,6 @@
 
 
 def text_of_whole(body: bytes) -> str:
-    """Return the text of an answer that was not streamed."""
+    """Return the text of an answer that is not streamed."""
     parsed = msgspec.json.decode(body, type=_TextAnswer)
     return "".join(choice.message.content or "" for choice in parsed.choices)
--- a/tests/test_many_boxes.py
+++ b/tests/test_many_boxes.py
@@ -45,7 +45,7 @@
         async def hang(_box: str, _dispatch: Dispatch) -> t.Any:
             self.tried.append((play.since(), engine.name))
             await asyncio.sleep(CONNECT_S)
-            fault = "not reached: the connection did not come up"
+            fault = "not reached: timeout while connecting"
             return Err(SendFault(True, fault))
 
         engine.send = hang  # type: ignore[method-assign]
