--- a/src/spanshunt/admission.py
+++ b/src/spanshunt/admission.py
@@ -78,7 +78,7 @@
         Request id.
     asked : VersionRequest
         Input of the choice of a version.
-    fields, raw : struct, dict
+    fields, raw_body : struct, dict
         The decoded members of the body, and all members undecoded.
     session : SessionToken or None
         The caller's session; None if it names none.
@@ -92,7 +92,7 @@
     request: RequestId
     asked: VersionRequest
     fields: ChatFields
-    raw: RawBody
+    raw_body: RawBody
     session: SessionToken | None
     pin_name: str
     began: Millis
@@ -138,7 +138,9 @@
     return Ok(None)
 
 
-def take_in(router: Router, org: OrgRow, request: RequestId) -> Result[None, Refusal]:
+def admit_request(
+    router: Router, org: OrgRow, request: RequestId
+) -> Result[None, Refusal]:
     """Admit a request if its organisation is within its limits.
 
     An admitted request counts against these limits and as running on this box.
@@ -173,7 +175,7 @@
         return body
     try:
         fields = decode_document(body.ok_value, ChatFields)
-        raw = decode_document(body.ok_value, RawBody)
+        raw_body = decode_document(body.ok_value, RawBody)
     except InvalidInputError as exc:
         return Err(Refusal(Problem.BAD_REQUEST, f"body {exc.field}: {exc.problem}"))
     target = resolve_model(router.state.config, org, fields.model)
@@ -181,8 +183,8 @@
         return target
     model = target.ok_value
     name = req.headers.get(CLASS_HEADER, "")
-    request_class = model.service.request_class(ClassId(name))
-    if request_class is None:
+    class_row = model.service.request_class(ClassId(name))
+    if class_row is None:
         allowed = ", ".join(row.name for row in model.service.classes)
         detail = f"header {CLASS_HEADER}: {name!r} is not known; allowed: {allowed}"
         return Err(Refusal(Problem.BAD_REQUEST, detail))
@@ -195,9 +197,9 @@
     token = session.ok_value
     pin_name = f"{model.service.name}/{model.named}"
     pin = token.pins.get(pin_name, VersionId("")) if token else VersionId("")
-    asked = VersionRequest(
+    version_request = VersionRequest(
         service=ServiceId(model.service.name),
-        request_class=ClassId(request_class.name),
+        request_class=ClassId(class_row.name),
         org=OrgId(org.name),
         named=model.named,
         pin=pin,
@@ -206,9 +208,9 @@
     return Ok(
         ChatCall(
             request=request,
-            asked=asked,
+            asked=version_request,
             fields=fields,
-            raw=raw,
+            raw_body=raw_body,
             session=token,
             pin_name=pin_name,
             began=began,
--- a/src/spanshunt/api_replies.py
+++ b/src/spanshunt/api_replies.py
@@ -38,5 +38,5 @@
         except ConnectionError as exc:
             log_event("INFO", "caller lost", request=self._request, detail=str(exc))
 
-    def _before_head(self, response: web.StreamResponse) -> None:
+    def _prepare_head(self, response: web.StreamResponse) -> None:
         response.headers[REQUEST_HEADER] = self._request
--- a/src/spanshunt/backing/workers.py
+++ b/src/spanshunt/backing/workers.py
@@ -12,9 +12,9 @@
 
 from ..http_sends import HttpAnswer
 from ..http_sends import HttpSend
+from ..http_sends import drop_headers
+from ..http_sends import new_client_session
 from ..http_sends import send_http
-from ..http_sends import without
-from ..http_sends import worker_session
 from ..ids import RequestId
 from ..ports import Answer
 from ..ports import SendFault
@@ -102,7 +102,7 @@
         sent = await send_http(
             session,
             HttpSend(send.method, url, headers, send.body),
-            kept=not send.fresh,
+            reuses_connections=not send.fresh,
         )
         if isinstance(sent, Err):
             return sent
@@ -112,8 +112,8 @@
 
 def end_to_end(headers: t.Mapping[str, str]) -> CIMultiDict[str]:
     """Return the headers that travel on: no connection's, none of the system's."""
-    return without(headers, _CONNECTION_HEADERS)
+    return drop_headers(headers, _CONNECTION_HEADERS)
 
 
 def _session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
-    return worker_session(connector, _CONNECT_TIMEOUT_S, read_bufsize=_READ_SIZE)
+    return new_client_session(connector, _CONNECT_TIMEOUT_S, read_bufsize=_READ_SIZE)
--- a/src/spanshunt/callers.py
+++ b/src/spanshunt/callers.py
@@ -10,12 +10,12 @@
 from result import Ok
 from result import Result
 
+from .admission import admit_request
 from .admission import authenticate
 from .admission import check_ready
 from .admission import read_body
 from .admission import read_chat
 from .admission import read_timeout
-from .admission import take_in
 from .api_replies import ApiReply
 from .exceptions import InvariantError
 from .ids import Micros
@@ -26,10 +26,10 @@
 from .logs import log_event
 from .model_calls import answer_chat
 from .model_calls import chat_steps
-from .plain_calls import KEY_HEADER
+from .plain_calls import IDEMPOTENCY_KEY_HEADER
 from .plain_calls import PlainCall
-from .plain_calls import answer_call
-from .plain_calls import check_key
+from .plain_calls import answer_plain_call
+from .plain_calls import check_idempotency_key
 from .plain_calls import plain_steps
 from .refusal_responses import refusal_response
 from .refusals import Problem
@@ -113,7 +113,7 @@
         return await self._admit_and_answer(
             org.ok_value,
             reply,
-            answer_call(self._router, self._plain_steps, plain, reply),
+            answer_plain_call(self._router, self._plain_steps, plain, reply),
             request,
         )
 
@@ -131,7 +131,7 @@
             allowed = ", ".join(org.allowed) or "nothing"
             detail = f"service {name!r} is not known here; allowed: {allowed}"
             return Err(Refusal(Problem.NOT_FOUND, detail))
-        key = check_key(req.headers.get(KEY_HEADER, ""))
+        key = check_idempotency_key(req.headers.get(IDEMPOTENCY_KEY_HEADER, ""))
         if isinstance(key, Err):
             return key
         timeout = read_timeout(router, req)
@@ -173,7 +173,7 @@
     ) -> web.StreamResponse:
         """Answer if the organisation is within its limits, and record the cost."""
         router = self._router
-        admitted = take_in(router, org, request)
+        admitted = admit_request(router, org, request)
         if isinstance(admitted, Err):
             answer.close()
             return self._refuse(admitted.err_value, request)
--- a/src/spanshunt/chat_answers.py
+++ b/src/spanshunt/chat_answers.py
@@ -22,18 +22,18 @@
 from .session_pins import keep_pin
 from .session_tokens import SessionToken
 from .sse import EventStream
-from .sse import check_whole
+from .sse import check_whole_answer
 from .sse import text_of_stream
-from .sse import text_of_whole
+from .sse import text_of_whole_answer
 from .systems.invariants import OWN_ANSWER
 from .systems.invariants import check
 from .systems.journaling import priced_usage
 
-REFUSAL_BYTES = 500
+MAX_REFUSAL_BYTES = 500
 """Maximum part of an engine's error answer that is sent to the caller, in bytes."""
 
 
-async def use_answer(
+async def deliver_answer(
     router: Router,
     state: ChatRequest,
     attempt: ChatAttempt,
@@ -44,7 +44,7 @@
     if answer.status >= 500:
         raise BrokenAnswerError(f"answered with status {answer.status}")
     if answer.status != 200:
-        text = (await answer.read())[:REFUSAL_BYTES].decode(errors="replace")
+        text = (await answer.read())[:MAX_REFUSAL_BYTES].decode(errors="replace")
         state.refused = Refusal(Problem.BAD_REQUEST, text, Run.UNKNOWN)
         return Ending.REFUSED
     state.version = attempt.choice.version
@@ -77,14 +77,14 @@
         events = checked.ok_value
         if not events:
             continue
-        if not attempt.first:
-            attempt.first = router.clock.now()
+        if not attempt.first_at:
+            attempt.first_at = router.clock.now()
         if keep:
-            attempt.text.append(events)
+            attempt.kept_events.append(events)
         if not held_back:
             await _begin_stream(router, state, attempt, reply)
             await reply.write(events)
-    attempt.ended = router.clock.now()
+    attempt.ended_at = router.clock.now()
     end = stream.finish()
     if isinstance(end, Err):
         raise BrokenAnswerError(f"sent {end.err_value.value}")
@@ -96,11 +96,11 @@
     await _bill(router, state)
     await _begin_stream(router, state, attempt, reply)
     if held_back:
-        await reply.write(b"".join(attempt.text))
+        await reply.write(b"".join(attempt.kept_events))
     await reply.write(end.ok_value)
     await reply.end()
     if keep:
-        rate(router, state, attempt, text_of_stream(attempt.text))
+        rate(router, state, attempt, text_of_stream(attempt.kept_events))
     return Ending.DELIVERED
 
 
@@ -112,8 +112,8 @@
     reply: Reply,
 ) -> Ending:
     body = await answer.read()
-    attempt.first = attempt.ended = router.clock.now()
-    checked = check_whole(body)
+    attempt.first_at = attempt.ended_at = router.clock.now()
+    checked = check_whole_answer(body)
     if isinstance(checked, Err):
         raise BrokenAnswerError(f"sent {checked.err_value.value}")
     attempt.usage = checked.ok_value
@@ -122,7 +122,7 @@
         return Ending.BETTER
     await _bill(router, state)
     if router.rng.random() < attempt.choice.rate:
-        rate(router, state, attempt, text_of_whole(body))
+        rate(router, state, attempt, text_of_whole_answer(body))
     headers = await _headers(router, state, attempt)
     headers["Content-Type"] = "application/json"
     await reply.send_whole(200, headers, body)
@@ -179,7 +179,7 @@
     usage = attempt.usage
     if not fallback or usage is None or is_sure(usage):
         return False
-    state.forced = fallback
+    state.escalated_to = fallback
     state.tried.clear()
     return True
 
--- a/src/spanshunt/chat_state.py
+++ b/src/spanshunt/chat_state.py
@@ -19,20 +19,20 @@
     ----------
     choice : Choice
         The version, and the rule by which it was chosen.
-    first, ended : int
+    first_at, ended_at : int
         When the first event of the answer arrived and when the answer was complete, in
         ms of the monotonic clock; 0 until then.
     usage : TokenUsage or None
         Tokens that the engine counted; None until it reports them.
-    text : list of bytes
+    kept_events : list of bytes
         Checked events of a streamed answer that is held back or rated.
     """
 
     choice: Choice
-    first: Millis = Millis(0)
-    ended: Millis = Millis(0)
+    first_at: Millis = Millis(0)
+    ended_at: Millis = Millis(0)
     usage: TokenUsage | None = None
-    text: list[bytes] = msgspec.field(default_factory=list)
+    kept_events: list[bytes] = msgspec.field(default_factory=list)
 
 
 class ChatRequest(RequestState, kw_only=True):
@@ -44,10 +44,10 @@
         The request.
     usage : list of Usage
         Usage of the complete answers so far, including discarded ones.
-    forced : str
+    escalated_to : str
         The version to use after an escalation; empty for none.
     """
 
     call: ChatCall
     usage: list[Usage] = msgspec.field(default_factory=list)
-    forced: VersionId = VersionId("")
+    escalated_to: VersionId = VersionId("")
--- a/src/spanshunt/http_replies.py
+++ b/src/spanshunt/http_replies.py
@@ -32,12 +32,12 @@
     ) -> None:
         """Send a complete answer."""
         self.response = web.Response(status=status, headers=headers, body=body)
-        self._before_head(self.response)
+        self._prepare_head(self.response)
 
     async def begin(self, status: int, headers: CIMultiDict[str]) -> None:
         """Send the head of a stream."""
         self.response = web.StreamResponse(status=status, headers=headers)
-        self._before_head(self.response)
+        self._prepare_head(self.response)
         self.begun = True
         await self.response.prepare(self._req)
 
@@ -56,5 +56,5 @@
         if self._req.transport is not None:
             self._req.transport.close()
 
-    def _before_head(self, response: web.StreamResponse) -> None:
+    def _prepare_head(self, response: web.StreamResponse) -> None:
         """Change the response before its head is sent; subclasses may override this."""
--- a/src/spanshunt/http_sends.py
+++ b/src/spanshunt/http_sends.py
@@ -18,7 +18,7 @@
 from .systems.worker_health import WorkerLoad
 from .tables.notices import Notice
 
-READ_BYTES_MOST = 16_777_216
+MAX_READ_BYTES = 16_777_216
 """Maximum length in bytes of an answer that is read completely before it is forwarded.
 A box has about 100 MB of memory in all; longer answers must be streams."""
 
@@ -46,7 +46,7 @@
     body: bytes
 
 
-def worker_session(
+def new_client_session(
     connector: aiohttp.TCPConnector, connect_s: float, **options: t.Any
 ) -> aiohttp.ClientSession:
     """Return a session for :func:`send_http`, which changes no body and never retries.
@@ -72,7 +72,7 @@
     return session
 
 
-def without(
+def drop_headers(
     headers: t.Mapping[str, str], dropped: t.Collection[str]
 ) -> CIMultiDict[str]:
     """Return the headers other than those in `dropped`, which are in lower case."""
@@ -109,8 +109,8 @@
         size = 0
         while block := await self.next_block():
             size += len(block)
-            if size > READ_BYTES_MOST:
-                raise BrokenAnswerError(f"body: over {READ_BYTES_MOST} bytes")
+            if size > MAX_READ_BYTES:
+                raise BrokenAnswerError(f"body: over {MAX_READ_BYTES} bytes")
             blocks.append(block)
         return b"".join(blocks)
 
@@ -127,7 +127,7 @@
 
 
 async def send_http(
-    session: aiohttp.ClientSession, send: HttpSend, *, kept: bool
+    session: aiohttp.ClientSession, send: HttpSend, *, reuses_connections: bool
 ) -> Result[aiohttp.ClientResponse, SendFault]:
     """Send a request and return the head of its answer.
 
@@ -137,7 +137,7 @@
         Session whose connections are used; it must not retry by itself.
     send : HttpSend
         The request.
-    kept : bool
+    reuses_connections : bool
         Whether the session reuses connections, which workers may have closed.
     """
     try:
@@ -155,7 +155,7 @@
     except aiohttp.ConnectionTimeoutError:
         return Err(SendFault(True, "not reached: timeout while connecting"))
     except (aiohttp.ServerDisconnectedError, aiohttp.ClientOSError) as exc:
-        return Err(SendFault(False, f"{type(exc).__name__}: {exc}", kept))
+        return Err(SendFault(False, f"{type(exc).__name__}: {exc}", reuses_connections))
     except (aiohttp.ClientError, OSError, ValueError) as exc:
         return Err(SendFault(False, f"{type(exc).__name__}: {exc}"))
     return Ok(resp)
--- a/src/spanshunt/model_calls.py
+++ b/src/spanshunt/model_calls.py
@@ -10,7 +10,7 @@
 
 from .admission import ChatCall
 from .backing.workers import WorkerSend
-from .chat_answers import use_answer
+from .chat_answers import deliver_answer
 from .chat_state import ChatAttempt
 from .chat_state import ChatRequest
 from .forwarding import Steps
@@ -35,11 +35,11 @@
 from .systems.worker_choice import eligible_workers
 from .systems.worker_choice import estimated_load
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Attempts with one version before the first byte of the answer, on different
 workers."""
 
-FULL_LOAD = 3.0
+FULL_WORKER_LOAD = 3.0
 """Load, in batches, from which a worker gets no further requests."""
 
 NOT_RUN_STATUSES = frozenset({404, 503})
@@ -60,7 +60,7 @@
         before_send=partial(_before_send, router),
         send=partial(_send, router),
         note_head=partial(_note_head, router),
-        use=partial(use_answer, router),
+        use=partial(deliver_answer, router),
         note_fault=partial(_note_fault, router),
         note_bad=lambda state, attempt, exc: note_failed(
             router, state, attempt, str(exc)
@@ -68,7 +68,7 @@
         note_late=lambda state, attempt: note_failed(
             router, state, attempt, "no complete answer by the caller's deadline"
         ),
-        may_go_on=lambda state: len(state.tried) < MOST_ATTEMPTS,
+        may_go_on=lambda state: len(state.tried) < MAX_ATTEMPTS,
         retry_ms=lambda _state: _RETRY_MS,
     )
 
@@ -87,7 +87,7 @@
         began=call.began,
         limit=call.deadline,
         repeatable=True,
-        max_attempts=MOST_ATTEMPTS,
+        max_attempts=MAX_ATTEMPTS,
         call=call,
     )
     await forward(steps, state, reply)
@@ -95,21 +95,21 @@
 
 def _plan(router: Router, state: ChatRequest) -> Result[ChatAttempt, Refusal]:
     """Choose version and worker from the current tables."""
-    tables, asked = router.state, state.call.asked
-    if asked.org not in tables.config.orgs:
+    tables, version_request = router.state, state.call.asked
+    if version_request.org not in tables.config.orgs:
         return Err(Refusal(Problem.NOT_ALLOWED, "the organisation was removed"))
     chosen = _choose_version(router, state)
     if isinstance(chosen, Err):
         return chosen
     choice = chosen.ok_value
     rows = eligible_workers(
-        tables.workers, asked.service, choice.version, state.tried, router.rng
+        tables.workers, version_request.service, choice.version, state.tried, router.rng
     )
     if not rows:
         detail = f"no worker that holds {choice.version} accepts requests now"
         return Err(Refusal(Problem.NO_WORKER, detail, retry_ms=_RETRY_MS))
     worker = router.picker(rows)
-    if estimated_load(worker) >= FULL_LOAD:
+    if estimated_load(worker) >= FULL_WORKER_LOAD:
         detail = f"the workers that hold {choice.version} are at capacity"
         return Err(Refusal(Problem.OVERLOADED, detail, retry_ms=_RETRY_MS))
     return Ok(ChatAttempt(worker=worker, model=ModelId(choice.version), choice=choice))
@@ -117,14 +117,16 @@
 
 def _choose_version(router: Router, state: ChatRequest) -> Result[Choice, Refusal]:
     tables = router.state
-    asked = state.call.asked
-    if state.forced:
-        asked = msgspec.structs.replace(asked, named=state.forced)
-    service = asked.service
+    version_request = state.call.asked
+    if state.escalated_to:
+        version_request = msgspec.structs.replace(
+            version_request, named=state.escalated_to
+        )
+    service = version_request.service
     chosen = choose(
         tables.config,
         tables.evidence.pool,
-        asked,
+        version_request,
         lambda version: router.holds(service, version),
         router.preferences,
         router.clock.now(),
@@ -136,24 +138,24 @@
         detail = f"no version may answer now ({reasons or 'none is declared'})"
         return Err(Refusal(Problem.NO_WORKER, detail, retry_ms=_RETRY_MS))
     choice = chosen.ok_value
-    if state.forced or state.call.session is not None:
+    if state.escalated_to or state.call.session is not None:
         choice = msgspec.structs.replace(choice, fallback=VersionId(""))
     return Ok(choice)
 
 
 def _before_send(router: Router, state: ChatRequest, attempt: ChatAttempt) -> None:
     """Check the invariants of an attempt, and log the data it was decided on."""
-    tables, asked = router.state, state.call.asked
+    tables, version_request = router.state, state.call.asked
     version = attempt.choice.version
-    check_version(tables.config, asked.org, version)
+    check_version(tables.config, version_request.org, version)
     check_worker(tables.workers, attempt.worker.name)
-    if asked.pin:
-        check_session(tables.config, asked.org, asked.pin, version)
+    if version_request.pin:
+        check_session(tables.config, version_request.org, version_request.pin, version)
     log_event(
         "INFO",
         "dispatch",
         request=state.request,
-        service=asked.service,
+        service=version_request.service,
         request_class=state.request_class,
         org=state.org,
         config=tables.config.next_offset,
@@ -208,7 +210,7 @@
 
 def _engine_body(call: ChatCall, version: VersionId) -> bytes:
     """Return the request body with the version as its model, asking for usage."""
-    body = dict(call.raw)
+    body = dict(call.raw_body)
     body["model"] = msgspec.Raw(msgspec.json.encode(version))
     if call.fields.stream:
         body["stream_options"] = msgspec.Raw(b'{"include_usage":true}')
--- a/src/spanshunt/observations.py
+++ b/src/spanshunt/observations.py
@@ -38,7 +38,7 @@
 
 def note_whole(router: Router, state: ChatRequest, attempt: ChatAttempt) -> None:
     """Take in a whole answer, whether or not it is given."""
-    ttft = attempt.first - attempt.sent
+    ttft = attempt.first_at - attempt.sent
     slow = ttft > _slow_ms(router, attempt.choice.version)
     seen = Counts(runs=1, slow=int(slow))
     if attempt.usage is not None:
@@ -46,7 +46,7 @@
         seen.output_tokens = attempt.usage.completion_tokens
     _observe(router, state, attempt, seen)
     tokens = attempt.usage.completion_tokens if attempt.usage else 0
-    token_ms = (attempt.ended - attempt.first) / max(1, tokens - 1)
+    token_ms = (attempt.ended_at - attempt.first_at) / max(1, tokens - 1)
     record_success(attempt.worker, ttft, token_ms)
     _record_times(router, state, attempt, ttft, token_ms)
 
--- a/src/spanshunt/plain_calls.py
+++ b/src/spanshunt/plain_calls.py
@@ -47,11 +47,11 @@
 from .tables.claims import CallAnswer
 from .tables.config import ServiceRow
 
-KEY_HEADER = "Idempotency-Key"
-MAX_KEY = 200
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+MAX_KEY_CHARS = 200
 """Maximum length of an idempotency key, in characters."""
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Maximum number of workers tried, as long as none may have run the call."""
 
 _RETRY_MS = Millis(1_000)
@@ -101,12 +101,12 @@
     ----------
     call : PlainCall
         The call.
-    claimed : str
+    claimed_key : str
         Key of the claim that the call won; empty for none.
     """
 
     call: PlainCall
-    claimed: str = ""
+    claimed_key: str = ""
 
 
 PlainSteps = Steps[PlainRequest, Attempt]
@@ -130,13 +130,13 @@
             router, state, attempt, "no answer by the caller's deadline"
         ),
         may_go_on=lambda state: (
-            may_be_sent(state, router.clock.now()) and len(state.tried) < MOST_ATTEMPTS
+            may_be_sent(state, router.clock.now()) and len(state.tried) < MAX_ATTEMPTS
         ),
         retry_ms=lambda _state: _RETRY_MS,
     )
 
 
-async def answer_call(
+async def answer_plain_call(
     router: Router, steps: PlainSteps, call: PlainCall, reply: Reply
 ) -> None:
     """Answer a call of a plain service.
@@ -151,7 +151,7 @@
         began=call.began,
         limit=call.deadline,
         repeatable=call.repeatable,
-        max_attempts=MOST_ATTEMPTS,
+        max_attempts=MAX_ATTEMPTS,
         call=call,
     )
     if call.key and not call.repeatable:
@@ -160,20 +160,23 @@
                 await _send_stored_answer(reply, answer)
                 return
             case Ok(Won(key=key)):
-                state.claimed = key
+                state.claimed_key = key
             case Err(refusal):
                 await reply.refuse(refusal)
                 return
     await forward(steps, state, reply)
-    if state.claimed and state.runs == 0:
+    if state.claimed_key and state.runs == 0:
         await router.claimer.give_up(call.request)
 
 
-def check_key(key: str) -> Result[str, Refusal]:
+def check_idempotency_key(key: str) -> Result[str, Refusal]:
     """Check an idempotency key for length and characters."""
-    if len(key) <= MAX_KEY and key.isprintable():
+    if len(key) <= MAX_KEY_CHARS and key.isprintable():
         return Ok(key)
-    detail = f"header {KEY_HEADER}: up to {MAX_KEY} printable characters are allowed"
+    detail = (
+        f"header {IDEMPOTENCY_KEY_HEADER}: "
+        f"up to {MAX_KEY_CHARS} printable characters are allowed"
+    )
     return Err(Refusal(Problem.BAD_REQUEST, detail))
 
 
@@ -206,8 +209,8 @@
     tables, worker = router.state, attempt.worker
     check_service(tables.config, state.org, ServiceId(state.call.service.name))
     check_worker(tables.workers, worker.name)
-    if state.claimed:
-        check_claim(tables.claims, state.claimed, state.request)
+    if state.claimed_key:
+        check_claim(tables.claims, state.claimed_key, state.request)
         router.claimer.mark_sent(state.request)
     log_event(
         "INFO",
@@ -249,7 +252,7 @@
     body = await answer.read()
     await _bill(router, state)
     record_success(attempt.worker, router.clock.now() - attempt.sent, 0.0)
-    if state.claimed:
+    if state.claimed_key:
         content_type = answer.headers.get("Content-Type", "")
         stored = CallAnswer(answer.status, content_type, body)
         router.claimer.mark_done(state.request, stored)
@@ -261,7 +264,7 @@
     router: Router, state: PlainRequest, attempt: Attempt, fault: SendFault
 ) -> None:
     """Record a failed send; if no byte was sent, the claim counts as unsent again."""
-    if fault.unreached and state.claimed:
+    if fault.unreached and state.claimed_key:
         router.claimer.mark_unsent(state.request)
     if not fault.stale:
         _record_failed_attempt(router, state, attempt, fault.detail)
--- a/src/spanshunt/platform/front.py
+++ b/src/spanshunt/platform/front.py
@@ -17,7 +17,7 @@
 from ..catalog_state import Core
 from ..exceptions import InvariantError
 from ..http_replies import HttpReply
-from ..http_sends import without
+from ..http_sends import drop_headers
 from ..ids import ModelId
 from ..ids import RequestId
 from ..ports import Call
@@ -59,7 +59,7 @@
         """End the connection without the mark that completes a stream."""
         self.abort()
 
-    def _before_head(self, response: web.StreamResponse) -> None:
+    def _prepare_head(self, response: web.StreamResponse) -> None:
         if self._core.fleet.stopping:
             response.force_close()
 
@@ -206,7 +206,7 @@
     named = headers.get("Connection", "").lower().split(",")
     dropped = wire.CONNECTION_HEADERS | wire.SYSTEM_HEADERS
     dropped |= {name.strip() for name in named}
-    kept = without(headers, dropped)
+    kept = drop_headers(headers, dropped)
     if keep_model:
         kept[wire.MODEL] = headers[wire.MODEL]
     return kept
--- a/src/spanshunt/platform/workers.py
+++ b/src/spanshunt/platform/workers.py
@@ -14,9 +14,9 @@
 
 from ..http_sends import HttpAnswer
 from ..http_sends import HttpSend
+from ..http_sends import drop_headers
+from ..http_sends import new_client_session
 from ..http_sends import send_http
-from ..http_sends import without
-from ..http_sends import worker_session
 from ..ids import Millis
 from ..ports import Answer
 from ..ports import Dispatch
@@ -75,7 +75,7 @@
     """A worker's answer, as its headers tell it."""
 
     def __init__(self, resp: aiohttp.ClientResponse, request: str) -> None:
-        super().__init__(resp, without(resp.headers, wire.CONNECTION_HEADERS))
+        super().__init__(resp, drop_headers(resp.headers, wire.CONNECTION_HEADERS))
         self.not_run = wire.NOT_RUN in resp.headers
         self.replaced = resp.status == 421
         self.confidence = _sureness(resp.headers.get(wire.SURENESS))
@@ -110,7 +110,7 @@
         assert session is not None
         url = URL(f"http://{worker.address}{call.target}", encoded=True)
         send = HttpSend(call.method, url, _request_headers(dispatch), call.body)
-        sent = await send_http(session, send, kept=not alone)
+        sent = await send_http(session, send, reuses_connections=not alone)
         if isinstance(sent, Err):
             return sent
         return Ok(WorkerAnswer(sent.ok_value, call.request))
@@ -124,7 +124,7 @@
     loop = asyncio.get_running_loop()
     connector._factory = t.cast(t.Any, partial(_Connection, loop=loop))
     jar = aiohttp.DummyCookieJar()
-    return worker_session(connector, CONNECT_TIMEOUT_S, cookie_jar=jar)
+    return new_client_session(connector, CONNECT_TIMEOUT_S, cookie_jar=jar)
 
 
 def _request_headers(dispatch: Dispatch) -> CIMultiDict[str]:
--- a/src/spanshunt/ratings.py
+++ b/src/spanshunt/ratings.py
@@ -39,7 +39,7 @@
         service=call.asked.service,
         request_class=call.asked.request_class,
         version=cells[0].version,
-        prompt=bytes(call.raw["messages"]).decode(errors="replace"),
+        prompt=bytes(call.raw_body["messages"]).decode(errors="replace"),
         answer=text,
     )
     match await fetch_rating(router.http, router.settings.platform.rater, asked):
--- a/src/spanshunt/refusal_responses.py
+++ b/src/spanshunt/refusal_responses.py
@@ -7,7 +7,7 @@
 
 from .ids import RequestId
 from .refusals import Refusal
-from .refusals import document
+from .refusals import problem_document
 
 CONTENT_TYPE = "application/problem+json"
 
@@ -18,7 +18,7 @@
     if refusal.retry_ms is not None:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.retry_ms / 1000)))
     return web.Response(
-        body=msgspec.json.encode(document(refusal, request)),
+        body=msgspec.json.encode(problem_document(refusal, request)),
         status=refusal.problem.status,
         content_type=CONTENT_TYPE,
         headers=headers,
@@ -27,5 +27,5 @@
 
 def error_event(refusal: Refusal, request: RequestId) -> bytes:
     """Return the error event that ends an unfinished stream."""
-    body = msgspec.json.encode(document(refusal, request))
+    body = msgspec.json.encode(problem_document(refusal, request))
     return b"event: error\ndata: " + body + b"\n\n"
--- a/src/spanshunt/refusals.py
+++ b/src/spanshunt/refusals.py
@@ -79,7 +79,7 @@
     request: RequestId
 
 
-def document(refusal: Refusal, request: RequestId) -> ProblemDocument:
+def problem_document(refusal: Refusal, request: RequestId) -> ProblemDocument:
     """Return the problem document of a refusal."""
     return ProblemDocument(
         type=f"urn:spanshunt:problem:{refusal.problem.slug}",
--- a/src/spanshunt/sse.py
+++ b/src/spanshunt/sse.py
@@ -25,12 +25,12 @@
 class Flaw(enum.Enum):
     """Reason why an answer is invalid."""
 
-    FOREIGN = "an event of another answer"
+    OTHER_ANSWER = "an event of another answer"
     MALFORMED = "an event that is not one"
     TOO_LONG = "an event of over 1 MiB"
     TRUNCATED = "the stream ended with no end mark"
     AFTER_END = "bytes after the end mark"
-    UNACCOUNTED = "the stream ended with no usage"
+    NO_USAGE = "the stream ended with no usage"
 
 
 class TokenUsage(msgspec.Struct, frozen=True):
@@ -96,7 +96,7 @@
         if not self._ended or self._partial:
             return Err(Flaw.TRUNCATED)
         if self.usage is None:
-            return Err(Flaw.UNACCOUNTED)
+            return Err(Flaw.NO_USAGE)
         return Ok(self._usage_event + _DONE)
 
     def _check_partial(self) -> Result[bytes, Flaw]:
@@ -148,7 +148,7 @@
             return Err(Flaw.MALFORMED)
         if not event.startswith(self._prefix):
             foreign = event.startswith(_DATA)
-            return Err(Flaw.FOREIGN if foreign else Flaw.MALFORMED)
+            return Err(Flaw.OTHER_ANSWER if foreign else Flaw.MALFORMED)
         self.events += 1
         if _USAGE in event:
             return self._read_usage(event)
@@ -175,7 +175,7 @@
     usage: TokenUsage
 
 
-def check_whole(body: bytes) -> Result[TokenUsage, Flaw]:
+def check_whole_answer(body: bytes) -> Result[TokenUsage, Flaw]:
     """Validate an answer that is not streamed; return its usage."""
     try:
         answer = msgspec.json.decode(body, type=_WholeAnswer)
@@ -221,7 +221,7 @@
     choices: tuple[_TextChoice, ...] = ()
 
 
-def text_of_whole(body: bytes) -> str:
+def text_of_whole_answer(body: bytes) -> str:
     """Return the text of an answer that is not streamed."""
     parsed = msgspec.json.decode(body, type=_TextAnswer)
     return "".join(choice.message.content or "" for choice in parsed.choices)
