--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Bad input at the callers' API: typed refusals, bounded, no harm to others."""
+"""Invalid input to the callers' API is refused and does not affect other requests."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
 class TestRefusals:
     @pytest.mark.parametrize(
-        ("body", "headers", "status", "words"),
+        ("body", "headers", "status", "message"),
         [
             (b"{", {}, 400, "body $"),
             (b'{"model": 5}', {}, 400, "$.model"),
@@ -43,11 +43,13 @@
             (b"x" * 4_200_000, {}, 413, "4194304"),
         ],
     )
-    async def test_refusal_names_what_is_wrong(self, body, headers, status, words):
+    async def test_refusal_names_the_invalid_input(
+        self, body, headers, status, message
+    ):
         async with a_system(services=0) as system:
             found, problem = await post(system, body, **headers)
             assert found == status
-            assert words in problem["detail"]
+            assert message in problem["detail"]
             assert problem["run"] == "no"
             assert problem["request"].startswith("req-")
             assert CREDENTIAL not in msgspec.json.encode(problem).decode()
@@ -65,7 +67,7 @@
             assert "4194304" in problem["detail"] and problem["run"] == "no"
             assert sum(len(service.effects) for service in system.services) == 1
 
-    async def test_over_the_rate_says_when_to_come_back(self):
+    async def test_refusal_over_the_rate_limit_has_retry_after(self):
         async with a_system() as system:
             limits = {"rate": 1, "burst": 2}
             await system.apply({"do": "limits", "org": "museo", "limits": limits})
@@ -76,7 +78,7 @@
             assert int(headers["Retry-After"]) >= 1
             assert b'"run":"no"' in body
 
-    async def test_models_lists_only_what_is_allowed(self):
+    async def test_models_lists_only_allowed_models(self):
         async with a_system() as system:
             allow = {"do": "disallow", "org": "museo", "allowed": ["grande"]}
             await system.apply(allow)
@@ -88,7 +90,7 @@
 
 
 class TestRawSockets:
-    async def raw(self, system: System, data: bytes) -> bytes:
+    async def exchange(self, system: System, data: bytes) -> bytes:
         port = system.daemons[0].ports["callers"]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(data)
@@ -107,16 +109,16 @@
         ],
         ids=["nonsense", "long-header", "half-closed"],
     )
-    async def test_bad_bytes_disturb_nobody(self, data: bytes):
+    async def test_invalid_bytes_do_not_affect_other_requests(self, data: bytes):
         async with a_system(services=0) as system:
             other = asyncio.create_task(system.chat("other", 50))
-            found = await self.raw(system, data)
+            found = await self.exchange(system, data)
             assert b" 200 " not in found.split(b"\r\n")[0]
             _, _, body = await other
             assert words_of(body) == whole_answer("other", 50)
             await system.until(lambda: not system.daemons[0].router.running)
 
-    async def test_slow_sender_is_cut_off(self):
+    async def test_slow_body_times_out(self):
         async with a_system(services=0) as system:
             router = system.daemons[0].router
             bounds = msgspec.structs.replace(
@@ -135,7 +137,7 @@
 
 
 class TestCredentials:
-    async def test_rotated_without_a_gap_and_revoked_at_once(self):
+    async def test_rotation_overlaps_and_revocation_is_immediate(self):
         async with a_system(services=0) as system:
             change = {"do": "credentials", "org": "museo"}
             new = "museo-credential-2"
--- a/tests/test_model_calls.py
+++ b/tests/test_model_calls.py
@@ -1,4 +1,4 @@
-"""Steps of model requests that need no socket."""
+"""Steps of model requests that can be tested without a worker."""
 
 import typing as t
 
@@ -18,7 +18,7 @@
 from spanshunt.systems.choice_rows import Rule
 
 
-def a_request() -> ChatRequest:
+def make_request() -> ChatRequest:
     return ChatRequest(
         request=RequestId("r"),
         org=OrgId("museo"),
@@ -30,12 +30,12 @@
     )
 
 
-async def test_forgotten_connection_does_not_speak_against_its_worker():
+async def test_stale_connection_does_not_count_as_failure_of_worker():
     async with a_system() as system:
         steps = chat_steps(system.daemons[0].router)
         worker = make_worker("w")
         attempt = ChatAttempt(worker=worker, choice=Choice(CHEAP, Rule.ASKED, 0.0))
-        steps.note_fault(a_request(), attempt, SendFault(False, "reset", stale=True))
+        steps.note_fault(make_request(), attempt, SendFault(False, "reset", stale=True))
         assert worker.failures == 0
-        steps.note_fault(a_request(), attempt, SendFault(False, "reset"))
+        steps.note_fault(make_request(), attempt, SendFault(False, "reset"))
         assert worker.failures == 1
