--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -1,8 +1,8 @@
-"""Callers who leave: the worker is told within half a second, wherever the request is.
+"""Cancellation: workers stop within half a second after a caller disconnects.
 
-A caller closes its connection while its request waits, runs, is sent again, goes on
-elsewhere or is asked of a larger model; or before the box has read or answered it. What
-a worker then still does for it nobody gets, and another request waits for its place.
+A caller may disconnect while its request waits, runs, is repeated, is resumed at
+another worker or is escalated to a larger model, or before the box has read or answered
+it. Work that continues for such a request is wasted and delays other requests.
 """
 
 import asyncio
@@ -20,13 +20,13 @@
 from spanshunt.standins.worker import WorkerFault
 
 CANCEL_S = 0.5
-"""Within which no worker works for a caller that has left, in s."""
+"""Time after a disconnect within which all workers must stop, in s."""
 
 NAME = "left"
 
 
-def raw_request(fleet: TestFleet, path: str, body: int = 0) -> bytes:
-    """Return the head of a request as a caller writes it."""
+def request_head(fleet: TestFleet, path: str, body: int = 0) -> bytes:
+    """Return the head of a request as sent by a caller."""
     headers = fleet.headers(path, KEY, {"Attempt-Id": NAME})
     headers["Content-Length"] = str(body)
     method = "GET" if path.startswith("/look") else "POST"
@@ -35,25 +35,25 @@
 
 
 @contextlib.asynccontextmanager
-async def asking(
+async def open_request(
     fleet: TestFleet, box: Box, path: str
 ) -> t.AsyncIterator[asyncio.StreamReader]:
-    """Ask on a connection of one's own and leave at the end."""
+    """Send the request on a separate connection and disconnect at the end."""
     host, _, port = box.base.removeprefix("http://").rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
-    writer.write(raw_request(fleet, path))
+    writer.write(request_head(fleet, path))
     yield reader
     writer.close()
 
 
 def arrivals(fleet: TestFleet) -> int:
-    """Return how often the request reached a worker."""
+    """Return how many times the request arrived at a worker."""
     workers = fleet.workers.values()
     return sum(seen.request == NAME for worker in workers for seen in worker.seen)
 
 
-def still_running(fleet: TestFleet) -> int:
-    """Return at how many workers the request runs that were not told to stop."""
+def uncancelled_runs(fleet: TestFleet) -> int:
+    """Return the number of runs of the request that were not cancelled."""
     workers = list(fleet.workers.values())
     ran = sum(worker.ran.count(NAME) for worker in workers)
     ended = sum(worker.cancelled.count(NAME) for worker in workers)
@@ -61,77 +61,77 @@
 
 
 async def expect_cancelled(fleet: TestFleet) -> None:
-    """Wait until no worker works for the request, and see that none begins again."""
-    await until(lambda: still_running(fleet) == 0, "cancelled", CANCEL_S)
+    """Wait until all runs of the request are cancelled, and check that none starts."""
+    await until(lambda: uncancelled_runs(fleet) == 0, "runs are cancelled", CANCEL_S)
     reached = arrivals(fleet)
     await asyncio.sleep(CANCEL_S)
     assert arrivals(fleet) == reached
-    assert still_running(fleet) == 0
+    assert uncancelled_runs(fleet) == 0
 
 
 @pytest.mark.parametrize("path", ["/long/", "/look/", "/view/"])
-async def test_while_a_worker_says_nothing(path: str):
+async def test_cancel_while_worker_is_silent(path: str):
     async with running_fleet() as fleet:
         for worker in fleet.workers.values():
             worker.fault = WorkerFault.MUTE
-        async with asking(fleet, fleet.boxes[0], path):
+        async with open_request(fleet, fleet.boxes[0], path):
             await until(lambda: arrivals(fleet) > 0, "sent")
         await expect_cancelled(fleet)
 
 
-async def test_while_a_request_that_failed_is_repeated():
+async def test_cancel_while_request_is_repeated():
     async with running_fleet() as fleet:
-        failing, sound = fleet.workers["w-1"], fleet.workers["w-2"]
+        failing, healthy = fleet.workers["w-1"], fleet.workers["w-2"]
         failing.fault = WorkerFault.ERROR
-        sound.event_s, sound.events = 0.05, 400
+        healthy.event_s, healthy.events = 0.05, 400
         fleet.boxes[0].node.fleet.workers.rows[WorkerId("w-2")].inflight = 30
-        async with asking(fleet, fleet.boxes[0], "/long/"):
-            await until(lambda: NAME in sound.ran, "repeated")
+        async with open_request(fleet, fleet.boxes[0], "/long/"):
+            await until(lambda: NAME in healthy.ran, "repeated")
         assert NAME in failing.ran
-        # That run ended by itself.
+        # The failed run ended without a cancellation.
         failing.ran.clear()
         await expect_cancelled(fleet)
 
 
-async def test_while_a_stream_goes_on_elsewhere():
+async def test_cancel_while_stream_is_resumed():
     async with running_fleet() as fleet:
         for worker in fleet.workers.values():
             worker.fault, worker.faults_left = WorkerFault.STALL, 1
             worker.events, worker.event_s = 400, 0.05
-        async with asking(fleet, fleet.boxes[0], "/long/"):
+        async with open_request(fleet, fleet.boxes[0], "/long/"):
             await until(lambda: arrivals(fleet) >= 2, "goes on")
         await expect_cancelled(fleet)
 
 
-async def test_while_a_larger_model_is_asked():
+async def test_cancel_while_request_is_escalated():
     async with running_fleet() as fleet:
         for worker in fleet.workers.values():
             worker.sureness = {"small": 2, "large": 90}
             worker.event_s, worker.events = 0.1, 400
         box = fleet.boxes[0]
-        async with asking(fleet, box, "/long/"):
+        async with open_request(fleet, box, "/long/"):
             await until(lambda: arrivals(fleet) >= 2, "asked again")
         await expect_cancelled(fleet)
 
 
-async def test_while_its_body_is_under_way():
-    """The request is not whole: no worker may get it."""
+async def test_disconnect_before_body_is_complete():
+    """An incomplete request must not be sent to any worker."""
     async with running_fleet() as fleet:
         host, _, port = fleet.boxes[0].base.removeprefix("http://").rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
-        writer.write(raw_request(fleet, "/view/", body=4_000) + b"x" * 1_000)
+        writer.write(request_head(fleet, "/view/", body=4_000) + b"x" * 1_000)
         await asyncio.sleep(0.1)
         writer.close()
         await asyncio.sleep(2 * CANCEL_S)
         assert arrivals(fleet) == 0
 
 
-async def test_before_the_box_knows_a_catalog():
-    """The request waits at the box; once its caller has left nobody needs it."""
+async def test_disconnect_before_box_has_catalog():
+    """A request that waits for a catalog is dropped when its caller disconnects."""
     async with running_fleet() as fleet:
         box = fleet.boxes[0]
         known, box.node.fleet.catalog = box.node.fleet.catalog, None
-        async with asking(fleet, box, "/look/"):
+        async with open_request(fleet, box, "/look/"):
             await asyncio.sleep(0.1)
         await asyncio.sleep(0.05)
         box.node.fleet.catalog = known
@@ -139,12 +139,12 @@
         assert arrivals(fleet) == 0
 
 
-async def test_before_the_box_has_read_the_request():
-    """It came and went while the box stood still: the close waits behind it."""
+async def test_disconnect_before_box_reads_request():
+    """Covers a request whose connection is closed before the box reads it."""
     async with running_fleet() as fleet:
         for worker in fleet.workers.values():
             worker.fault = WorkerFault.MUTE
-        async with asking(fleet, fleet.boxes[0], "/look/"):
+        async with open_request(fleet, fleet.boxes[0], "/look/"):
             pass
         await asyncio.sleep(CANCEL_S)
         await expect_cancelled(fleet)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""The request path of a whole box over stand-ins, fault by fault."""
+"""Forwarding of requests by a complete box to stand-in workers with faults."""
 
 import asyncio
 import json
@@ -18,27 +18,29 @@
 from spanshunt.systems.repeats import RepeatBounds
 
 
-def _all(fleet: TestFleet, service: str, fault: WorkerFault, left: int = -1) -> None:
+def _set_fault(
+    fleet: TestFleet, service: str, fault: WorkerFault, left: int = -1
+) -> None:
     prefix = {"writer": "w-", "web": "p-"}[service]
     for name, worker in fleet.workers.items():
         if name.startswith(prefix):
             worker.fault, worker.faults_left = fault, left
 
 
-def _runs(fleet: TestFleet, request: str) -> int:
+def _run_count(fleet: TestFleet, request: str) -> int:
     return sum(worker.ran.count(request) for worker in fleet.workers.values())
 
 
-def _events(body: bytes) -> list[int]:
+def _event_ids(body: bytes) -> list[int]:
     return [
         int(line[3:]) for line in body.decode().splitlines() if line.startswith("id:")
     ]
 
 
 class TestWhole:
-    """Plain requests: the worker's answer, unchanged, or a true refusal."""
+    """Plain requests get the worker's unchanged answer, or a correct refusal."""
 
-    async def test_answer_is_the_workers(self):
+    async def test_answer_of_worker_is_unchanged(self):
         async with running_fleet() as fleet:
             reply = await fleet.ask(fleet.boxes[0], "/view/a?b=c%20d", Attempt_Id="me")
             assert reply.status == 200
@@ -51,7 +53,7 @@
             assert seen.headers["tenant"] == "museo"
             assert "credential" not in seen.headers
 
-    async def test_headers_of_the_system_do_not_come_from_callers(self):
+    async def test_system_headers_of_callers_are_dropped(self):
         forged = {
             "Tenant": "radio",
             "Hold": "h",
@@ -74,7 +76,7 @@
             left = {"hold", "pin-ms", "kv-from", "kv-backup", "kv-fetch"}
             assert not left & set(seen.headers)
 
-    async def test_deadline_handed_on_is_what_is_left(self):
+    async def test_forwarded_deadline_is_time_left(self):
         async with running_fleet() as fleet:
             await fleet.ask(fleet.boxes[0], "/view/", Deadline_Ms="900")
             seen = next(
@@ -86,13 +88,15 @@
         ("path", "key", "status"),
         [("/nowhere/", KEY, 404), ("/view/", "unknown", 401), ("/view/", "", 401)],
     )
-    async def test_refused_entry(self, path: str, key: str, status: int):
+    async def test_unknown_route_or_credential_is_refused(
+        self, path: str, key: str, status: int
+    ):
         async with running_fleet() as fleet:
             reply = await fleet.ask(fleet.boxes[0], path, key=key)
             assert reply.status == status
 
     @pytest.mark.parametrize("deadline", ["²", "9" * 5_000, "-5", "soon", ""])
-    async def test_deadline_that_is_no_number_is_a_clear_error(self, deadline: str):
+    async def test_invalid_deadline_gets_400(self, deadline: str):
         async with running_fleet() as fleet:
             reply = await fleet.ask(fleet.boxes[0], "/view/", Deadline_Ms=deadline)
             assert reply.status == 400
@@ -101,22 +105,22 @@
     @pytest.mark.parametrize(
         "parts", ["aa:²,bb:600", "aa:" + "9" * 5_000 + ",bb:1", "aa:99999999,bb:1", ":"]
     )
-    async def test_prompt_parts_that_cannot_be_are_none(self, parts: str):
+    async def test_invalid_prompt_parts_are_ignored(self, parts: str):
         async with running_fleet() as fleet:
             reply = await fleet.ask(fleet.boxes[0], "/long/", Prompt_Prefix=parts)
             assert reply.status == 200
             kept = [row.kept for row in fleet.boxes[0].node.fleet.workers.rows.values()]
             assert sum(one.tokens for one in kept) in (1_000, 2_000)
 
-    async def test_full_workers_are_a_true_refusal(self):
+    async def test_full_workers_cause_503_without_run(self):
         async with running_fleet() as fleet:
-            _all(fleet, "web", WorkerFault.FULL)
+            _set_fault(fleet, "web", WorkerFault.FULL)
             reply = await fleet.ask(fleet.boxes[0], "/view/", Attempt_Id="full")
             assert reply.status == 503
             assert 0 < float(reply.headers["Retry-After"]) < 1
-            assert _runs(fleet, "full") == 0
+            assert _run_count(fleet, "full") == 0
 
-    async def test_full_worker_leads_to_another(self):
+    async def test_full_worker_causes_retry_elsewhere(self):
         async with running_fleet() as fleet:
             fleet.workers["p-1"].fault = WorkerFault.FULL
             for number in range(6):
@@ -124,7 +128,7 @@
                     fleet.boxes[0], "/view/", Attempt_Id=f"n{number}"
                 )
                 assert reply.status == 200
-                assert _runs(fleet, f"n{number}") == 1
+                assert _run_count(fleet, f"n{number}") == 1
 
     @pytest.mark.parametrize(
         "fault",
@@ -136,9 +140,9 @@
             WorkerFault.UNSEALED,
         ],
     )
-    async def test_once_runs_once_and_is_not_said_to_have_not_run(self, fault):
+    async def test_non_repeatable_request_runs_once_and_may_have_run(self, fault):
         async with running_fleet() as fleet:
-            _all(fleet, "web", fault)
+            _set_fault(fleet, "web", fault)
             reply = await fleet.ask(
                 fleet.boxes[0], "/view/", Attempt_Id="once", Deadline_Ms="700"
             )
@@ -162,9 +166,9 @@
             WorkerFault.UNSEALED,
         ],
     )
-    async def test_repeatable_is_sent_elsewhere(self, fault):
+    async def test_repeatable_request_is_retried_elsewhere(self, fault):
         async with running_fleet() as fleet:
-            _all(fleet, "web", fault, left=0)
+            _set_fault(fleet, "web", fault, left=0)
             first, second = fleet.workers["p-1"], fleet.workers["p-2"]
             first.fault, first.faults_left = fault, -1
             for number in range(4):
@@ -175,18 +179,18 @@
                 assert reply.headers["Response-Seal"] == f"seal-of-r{number}"
             assert second.ran
 
-    async def test_own_failure_of_a_worker_is_passed_on(self):
+    async def test_error_response_of_worker_is_relayed(self):
         async with running_fleet() as fleet:
-            _all(fleet, "web", WorkerFault.ERROR)
+            _set_fault(fleet, "web", WorkerFault.ERROR)
             reply = await fleet.ask(fleet.boxes[0], "/look/", Attempt_Id="bad")
             assert reply.status == 500
             assert reply.headers["Response-Seal"] == "seal-of-bad"
-            assert _runs(fleet, "bad") == 2
+            assert _run_count(fleet, "bad") == 2
 
     @pytest.mark.parametrize("fault", [WorkerFault.EXTRA, WorkerFault.LATE_EXTRA])
-    async def test_surplus_answers_reach_nobody(self, fault):
+    async def test_surplus_answers_are_dropped(self, fault):
         async with running_fleet() as fleet:
-            _all(fleet, "web", fault)
+            _set_fault(fleet, "web", fault)
             for number in range(8):
                 name = f"s{number}"
                 reply = await fleet.ask(fleet.boxes[0], "/look/", Attempt_Id=name)
@@ -194,19 +198,22 @@
                 assert name.encode() in reply.body
                 await asyncio.sleep(0.03 * (number % 3))
 
-    async def test_repeat_is_not_sent_where_another_answer_may_be_owed(self):
-        """CI of 2 December: both attempts met a surplus answer on a kept connection."""
+    async def test_repeat_uses_new_connection(self):
+        """Guards against repeats on reused connections.
+
+        Both attempts can get a surplus answer to another request on such a connection.
+        """
         async with running_fleet() as fleet:
-            _all(fleet, "web", WorkerFault.OWED)
+            _set_fault(fleet, "web", WorkerFault.OWED)
             for number in range(12):
                 name = f"s{number}"
                 reply = await fleet.ask(fleet.boxes[0], "/look/", Attempt_Id=name)
                 assert reply.status == 200, number
                 assert name.encode() in reply.body
 
-    async def test_forgotten_connection_does_not_speak_against_its_worker(self):
+    async def test_stale_connection_is_no_failure_of_worker(self):
         async with running_fleet() as fleet:
-            _all(fleet, "web", WorkerFault.FORGET)
+            _set_fault(fleet, "web", WorkerFault.FORGET)
             for number in range(8):
                 reply = await fleet.ask(
                     fleet.boxes[0], "/look/", Attempt_Id=f"f{number}"
@@ -215,9 +222,9 @@
             rows = fleet.boxes[0].node.fleet.workers.rows
             assert {rows[name].ejected_until for name in ("p-1", "p-2")} == {0}
 
-    async def test_replaced_worker_gets_nothing_more(self):
+    async def test_replaced_worker_gets_no_more_requests(self):
         async with running_fleet() as fleet:
-            _all(fleet, "web", WorkerFault.REPLACED)
+            _set_fault(fleet, "web", WorkerFault.REPLACED)
             fleet.workers["p-2"].fault = WorkerFault.NONE
             for number in range(5):
                 reply = await fleet.ask(
@@ -226,8 +233,11 @@
                 assert reply.status == 200
             assert len(fleet.workers["p-1"].seen) <= 1
 
-    async def test_silent_worker_is_left_out_after_a_request_that_runs_once(self):
-        """Seen: 75 writes of a day went to one silent worker."""
+    async def test_silent_worker_is_ejected_by_non_repeatable_request(self):
+        """Guards against writes that keep going to a silent worker.
+
+        Without the ejection 75 writes in one day were sent to the same silent worker.
+        """
         async with running_fleet() as fleet:
             box = fleet.boxes[0]
             rows = box.node.fleet.workers.rows
@@ -236,7 +246,7 @@
             asked = asyncio.create_task(
                 fleet.ask(box, "/view/", Attempt_Id="held", Deadline_Ms="900")
             )
-            out = "p-1 is left out while its answer is waited for"
+            out = "p-1 is ejected while its answer is awaited"
             await until(lambda: rows[WorkerId("p-1")].ejected_until > 0, out, 0.8)
             rows[WorkerId("p-2")].inflight = 0
             for number in range(8):
@@ -245,9 +255,9 @@
             assert (await asked).status == 504
             assert rows[WorkerId("p-1")].failures >= 2
 
-    async def test_final_answer_at_the_routes_time(self):
+    async def test_final_answer_at_route_timeout(self):
         async with running_fleet() as fleet:
-            _all(fleet, "web", WorkerFault.MUTE)
+            _set_fault(fleet, "web", WorkerFault.MUTE)
             loop = asyncio.get_running_loop()
             begun = loop.time()
             reply = await fleet.ask(fleet.boxes[0], "/view/")
@@ -257,13 +267,13 @@
 
 
 class TestStream:
-    """Streams: whole events once, from one run or taken up after the last of them."""
+    """Streams deliver each complete event once, from one run or resumed."""
 
     async def test_events_and_model(self):
         async with running_fleet() as fleet:
             reply = await fleet.ask(fleet.boxes[0], "/long/", Attempt_Id="st")
             assert reply.status == 200
-            assert _events(reply.body) == [1, 2, 3, 4]
+            assert _event_ids(reply.body) == [1, 2, 3, 4]
             models = {
                 seen.headers["model"]
                 for worker in fleet.workers.values()
@@ -272,51 +282,54 @@
             assert models <= {"small", "large"}
 
     @pytest.mark.parametrize("fault", [WorkerFault.CUT, WorkerFault.STALL])
-    async def test_broken_stream_goes_on_elsewhere(self, fault):
+    async def test_broken_stream_is_resumed_elsewhere(self, fault):
         async with running_fleet() as fleet:
-            _all(fleet, "writer", fault, left=1)
+            _set_fault(fleet, "writer", fault, left=1)
             reply = await fleet.ask(fleet.boxes[0], "/long/", Attempt_Id="cut")
             assert reply.status == 200
-            assert _events(reply.body) == [1, 2, 3, 4]
+            assert _event_ids(reply.body) == [1, 2, 3, 4]
             assert reply.headers["Response-Seal"] == "seal-of-cut"
 
-    async def test_silent_stream_is_not_ended_when_it_cannot_go_on_elsewhere(self):
-        """Seen where the budget of repeats was empty: the caller lost its stream."""
+    async def test_silent_stream_continues_if_it_cannot_be_resumed(self):
+        """Guards against ending a silent stream while the retry budget is used up.
+
+        No other worker could resume it, so the caller lost the stream.
+        """
         async with running_fleet() as fleet:
             box = fleet.boxes[0]
             box.node.core.bounds = RepeatBounds(ratio=0.0, slack=0.0)
-            _all(fleet, "writer", WorkerFault.PAUSE)
+            _set_fault(fleet, "writer", WorkerFault.PAUSE)
             reply = await fleet.ask(box, "/long/", Attempt_Id="still")
-            assert _events(reply.body) == [1, 2, 3, 4]
-            assert _runs(fleet, "still") == 1
+            assert _event_ids(reply.body) == [1, 2, 3, 4]
+            assert _run_count(fleet, "still") == 1
 
-    async def test_stream_that_cannot_be_finished_does_not_look_whole(self):
+    async def test_unfinished_stream_is_visibly_incomplete(self):
         async with running_fleet() as fleet:
-            _all(fleet, "writer", WorkerFault.CUT)
+            _set_fault(fleet, "writer", WorkerFault.CUT)
             for worker in fleet.workers.values():
                 worker.events = 40
             with pytest.raises(aiohttp.ClientPayloadError):
                 await fleet.ask(fleet.boxes[0], "/long/")
 
-    async def test_stream_without_resume_is_not_sent_again(self):
+    async def test_stream_without_resume_is_not_repeated(self):
         async with running_fleet() as fleet:
             routes = [{**route, "StreamResume": False} for route in config()["Routes"]]
             await fleet.configure(config(8, Routes=routes))
             box = fleet.boxes[0]
             await until(lambda: box.node.fleet.catalog.version == 8, "version 8")
-            _all(fleet, "writer", WorkerFault.CUT)
+            _set_fault(fleet, "writer", WorkerFault.CUT)
             with pytest.raises(aiohttp.ClientPayloadError):
                 await fleet.ask(box, "/long/", Attempt_Id="uncut")
-            assert _runs(fleet, "uncut") == 1
+            assert _run_count(fleet, "uncut") == 1
 
-    async def test_unsure_answer_is_dropped_for_the_largest_model(self):
+    async def test_unsure_answer_is_escalated_to_largest_model(self):
         async with running_fleet() as fleet:
             for worker in fleet.workers.values():
                 worker.sureness = {"small": 2, "large": 90}
             reply = await fleet.ask(
                 fleet.boxes[0], "/long/", Attempt_Id="up", Token_Counts="4000,10"
             )
-            assert _events(reply.body) == [1, 2, 3, 4]
+            assert _event_ids(reply.body) == [1, 2, 3, 4]
             models = [
                 seen.headers["model"]
                 for worker in fleet.workers.values()
@@ -325,8 +338,11 @@
             ]
             assert sorted(models) == ["large", "small"]
 
-    async def test_last_attempt_is_kept_for_failures(self):
-        """Seen: it was spent on a better model's answer, and then a worker failed."""
+    async def test_last_attempt_is_reserved_for_failures(self):
+        """Guards against using the last attempt for an escalation.
+
+        If a worker failed after it, the request could not be repeated.
+        """
         async with running_fleet() as fleet:
             box = fleet.boxes[0]
             box.node.fleet.workers.rows[WorkerId("w-2")].inflight = 30
@@ -337,7 +353,7 @@
             reply = await fleet.ask(
                 box, "/long/", Attempt_Id="last", Token_Counts="4000,10"
             )
-            assert _events(reply.body) == [1, 2, 3, 4]
+            assert _event_ids(reply.body) == [1, 2, 3, 4]
             models = [
                 seen.headers["model"]
                 for worker in fleet.workers.values()
@@ -346,7 +362,7 @@
             ]
             assert models == ["small", "small"]
 
-    async def test_named_model_is_left_alone(self):
+    async def test_model_named_by_caller_is_used(self):
         async with running_fleet() as fleet:
             await fleet.ask(fleet.boxes[0], "/long/", Model="middle")
             models = {
@@ -356,7 +372,7 @@
             }
             assert models == {"middle"}
 
-    async def test_gone_caller_is_cancelled_at_the_worker(self):
+    async def test_disconnect_cancels_run_at_worker(self):
         async with running_fleet() as fleet:
             for worker in fleet.workers.values():
                 worker.event_s, worker.events = 0.05, 400
@@ -370,7 +386,7 @@
 
 
 class TestConfiguration:
-    """What a box believes: in force soon, never going back."""
+    """A box applies configuration changes soon and never reverts to older ones."""
 
     async def test_box_without_catalog_says_not_ready(self):
         fleet = TestFleet()
@@ -383,7 +399,7 @@
         finally:
             await fleet.stop()
 
-    async def test_key_taken_away_counts_on_open_connections(self):
+    async def test_removed_key_is_refused_on_open_connections(self):
         async with running_fleet() as fleet:
             box = fleet.boxes[0]
             assert (await fleet.ask(box, "/view/")).status == 200
@@ -391,8 +407,11 @@
             await until(lambda: box.node.fleet.catalog.version == 9, "version 9")
             assert (await fleet.ask(box, "/view/")).status == 401
 
-    async def test_stream_admitted_before_goes_on_after_its_key_is_taken_away(self):
-        """Seen: it was cut, as its worker broke off after the key was gone."""
+    async def test_admitted_stream_is_resumed_after_its_key_is_removed(self):
+        """Guards against refusing the resumption of a stream that was admitted.
+
+        A worker broke the stream off after the key was removed, and the stream ended.
+        """
         async with running_fleet() as fleet:
             box = fleet.boxes[0]
             for worker in fleet.workers.values():
@@ -401,13 +420,13 @@
             await asyncio.sleep(0.2)
             await fleet.configure(without_key(config(9), KEY))
             await until(lambda: box.node.fleet.catalog.version == 9, "version 9")
-            _all(fleet, "writer", WorkerFault.NONE)
+            _set_fault(fleet, "writer", WorkerFault.NONE)
             running = [worker for worker in fleet.workers.values() if worker.ran]
             for worker in running:
                 worker.break_off()
-            assert _events((await asking).body) == list(range(1, 13))
+            assert _event_ids((await asking).body) == list(range(1, 13))
 
-    async def test_older_version_is_not_taken(self):
+    async def test_older_catalog_version_is_ignored(self):
         async with running_fleet() as fleet:
             box = fleet.boxes[0]
             await fleet.configure(config(20))
@@ -416,7 +435,7 @@
             await fleet.configure(config(21))
             await until(lambda: box.node.fleet.catalog.version == 21, "version 21")
 
-    async def test_forgotten_history_is_read_anew(self):
+    async def test_catalog_is_reread_after_history_loss(self):
         async with running_fleet() as fleet:
             box = fleet.boxes[0]
             await fleet.configure(config(30))
@@ -425,9 +444,9 @@
 
 
 class TestLogs:
-    """A failed request's way through the log."""
+    """Log lines of a failed request."""
 
-    async def test_lines_name_request_inputs_and_outcome(self, monkeypatch):
+    async def test_log_lines_contain_inputs_and_outcome(self, monkeypatch):
         lines: list[tuple[str, dict[str, object]]] = []
 
         def keep(level: str, message: str, **fields: object) -> None:
@@ -436,7 +455,7 @@
         for module in ("attempt_outcomes", "catalog_calls", "settling"):
             monkeypatch.setattr(f"spanshunt.{module}.log_event", keep)
         async with running_fleet() as fleet:
-            _all(fleet, "web", WorkerFault.ERROR)
+            _set_fault(fleet, "web", WorkerFault.ERROR)
             await fleet.ask(fleet.boxes[0], "/look/", Attempt_Id="why")
             mine = [(name, row) for name, row in lines if row.get("request") == "why"]
             assert [name for name, _ in mine] == [
@@ -461,7 +480,7 @@
             assert 'spanshunt_total_us_count{org="museo",class="r-view"} 1' in page
 
 
-async def test_host_decides_the_route():
+async def test_route_is_chosen_by_host():
     async with running_fleet() as fleet:
         reply = await fleet.ask(fleet.boxes[0], "/view/", Host=HOST.upper())
         assert reply.status == 200
