--- a/src/spanshunt/catalog_state.py
+++ b/src/spanshunt/catalog_state.py
@@ -85,7 +85,8 @@
     fingerprint : str
         Fingerprint of its content.
     service : str
-        The service that answers, drawn by the route's shares.
+        The service that answers, drawn by the route's shares and a hash of the session,
+        or else of the request id, so that all attempts get the same service.
     model_plan : ModelPlan or None
         The planned models; None if the caller named one or none is needed.
     escalated : bool
--- a/src/spanshunt/plain_calls.py
+++ b/src/spanshunt/plain_calls.py
@@ -52,7 +52,8 @@
 """Maximum length of an idempotency key, in characters."""
 
 MAX_ATTEMPTS = 3
-"""Maximum number of workers tried, as long as none may have run the call."""
+"""Maximum number of workers tried for one call. A call that is not repeatable goes to
+another worker only while it is certain that none ran it."""
 
 _RETRY_MS = Millis(1_000)
 
--- a/src/spanshunt/relaying.py
+++ b/src/spanshunt/relaying.py
@@ -87,8 +87,8 @@
     Raises
     ------
     BrokenAnswerError
-        If the stream ends inside an event, or is silent while another worker could
-        resume it.
+        If the connection breaks, if the stream ends inside an event, or if the worker
+        is silent for too long while another one could resume the stream.
     """
     splitter = EventSplitter(state.last_event_id)
     while True:
--- a/src/spanshunt/systems/cascading.py
+++ b/src/spanshunt/systems/cascading.py
@@ -46,12 +46,13 @@
 proportionally less is lost."""
 
 BUSY_LATENCY_FRACTION = 0.5
-"""Time for which a request and the queue before it occupy an engine, as a fraction of
-the route's target latency, at which a ms of engine time costs the usual gain per ms,
-:attr:`Fleet.gain_per_engine_ms`. At this price, only a request with a greater gain per
-ms is worth its engine time. For a shorter time the price is lower, because requests
-that arrive meanwhile still have the rest of the target latency; it falls with the
-square of the time. The price also grows with the lateness of answers."""
+"""Time for which the queue and half of a request's own prefill occupy an engine, as a
+fraction of the route's target latency, at which a ms of engine time costs the usual
+gain per ms, :attr:`Fleet.gain_per_engine_ms`, if the mean lateness is `BASE_LATENESS`.
+At this price, only a request with a greater gain per ms is worth its engine time. For a
+shorter time the price is lower, because requests that arrive meanwhile still have the
+rest of the target latency; it falls with the square of the time. The price also grows
+with the lateness of answers."""
 
 BASE_LATENESS = 0.05
 """Mean lateness of answers, in 0 to 1, that leaves the price of engine time unchanged.
@@ -305,8 +306,9 @@
     """Add a request to the usual gain per ms of engine time of its service.
 
     The gain of a request is the value that the largest model's answer would add to the
-    smallest model's. It is divided by the prefill time at the largest model, whether or
-    not that model is asked.
+    smallest model's, and at least `MIN_QUALITY_GAIN` of a good answer's value. It is
+    divided by the prefill time at the largest model, whether or not that model is
+    asked.
     """
     if estimate.read_ms <= 0.0:
         return
--- a/src/spanshunt/systems/choice.py
+++ b/src/spanshunt/systems/choice.py
@@ -229,8 +229,9 @@
     For those, the estimate and cost of `previous` stand for the entering version's:
     `previous` must possibly meet the target and be cheaper than the version in use. The
     entering version's own ratings are left to the guard rails, because a version that
-    gets no requests is never found to be bad. Without a `previous`, the model is new
-    and its own ratings decide, whatever its cost. It gets requests until it has
+    gets no requests is never found to be bad. There is no `previous` if the model is
+    new, or if the request can use no active version of it. The entering version's own
+    ratings then decide, whatever its cost: it gets requests until it has
     :data:`~spanshunt.systems.learning.MIN_TRIAL_RATINGS`, and afterwards while it may
     meet the target.
     """
--- a/src/spanshunt/systems/estimating.py
+++ b/src/spanshunt/systems/estimating.py
@@ -55,9 +55,10 @@
 prompt."""
 
 MAX_WAIT_FRACTION = 0.3
-"""An answer updates the speed only if the expected waiting time was at most this
+"""An answer updates a known speed only if the expected waiting time was at most this
 fraction of the expected time to its first event. After a longer wait, the measured time
-tells more about the queue."""
+tells more about the queue. The first answer of a model sets its speed whatever the
+expected wait."""
 
 PEER_SPEED_WEIGHT = 0.2
 """Weight of a peer's speed against this box's estimate at each exchange."""
@@ -305,7 +306,8 @@
 
     The expected time without waiting has two components, the base time and the prefill
     time of the uncached tokens. Each is changed in proportion to its fraction of that
-    time. Answers after a long expected wait are left out; see `MAX_WAIT_FRACTION`.
+    time. The first answer of a model sets its speed whatever the expected wait; later
+    answers after a long one are left out, see `MAX_WAIT_FRACTION`.
     """
     key = (prompt.service.name, prompt.model)
     speed = fleet.prefill_speeds.get(key)
--- a/src/spanshunt/systems/exposing.py
+++ b/src/spanshunt/systems/exposing.py
@@ -29,10 +29,11 @@
 margin covers boxes that see an order some tenths of a second apart."""
 
 FULL_PHASE_EXPOSURE_PART, FULL_PHASE_MAX_MS = 0.48, 3_000
-"""Part of the allowed share that is reserved for the full phase, at the end, in which
-the version gets all requests, and the longest full phase in ms. A version that is bad
-only under this load, or that turns bad only near the end of the order's time, shows it
-then; a longer order does not need a longer full phase."""
+"""Part of the used share (`USED_SHARE_PART` of the allowed one) that is reserved for
+the full phase, at the end, in which the version gets all requests, and the longest full
+phase in ms. A version that is bad only under this load, or that turns bad only near the
+end of the order's time, shows it then; a longer order does not need a longer full
+phase."""
 
 POSTPONE_FROM_MS, POSTPONE_UNTIL_MS = 1_500, 700
 """How long before the planned full phase boxes check whether it would exceed the
@@ -49,8 +50,9 @@
 need some of the other half even if nothing fails."""
 
 SECOND_STEP_FACTOR = 2.0
-"""Ratio of the second share to the first, so that a version that turns bad in the
-second half of the order's time also gets enough requests to show it."""
+"""Ratio of the second share to the first, before the extra share from the slack is
+added. It gives a version that turns bad in the second half of the order's time enough
+requests to show it."""
 
 USED_SHARE_PART, USED_SLACK_PART = 0.96, 0.5
 """Parts of the allowed share and of the slack that the steps use. The rest of the slack
--- a/src/spanshunt/systems/following_workers.py
+++ b/src/spanshunt/systems/following_workers.py
@@ -189,9 +189,9 @@
 def _add_incarnation(fleet: Fleet, row: WorkerRow, now: Millis) -> None:
     """Add a worker that is new, or a new incarnation of a known one.
 
-    A new incarnation gets a new row: load, cache contents, failures and leaving state
-    are those of the former incarnation, whose attempts still decrement the old row's
-    counter.
+    A new incarnation gets a new row, because load, cache contents, failures and leaving
+    state belonged to the former one and must not carry over. Attempts at the former
+    incarnation still decrement the old row's counter.
     """
     if row.name in fleet.workers.rows:
         # Peers' reports of the former incarnation's silence are older than this.
--- a/src/spanshunt/systems/freshness.py
+++ b/src/spanshunt/systems/freshness.py
@@ -92,10 +92,11 @@
 
 
 def count_holders(state: State, offset: Offset, now: Millis) -> int:
-    """Return how many listed boxes acknowledged the record at `offset`.
+    """Return how many listed boxes are known to hold the record at `offset`.
 
-    An acknowledgement is an answer at ``answered_at``; one older than
-    :data:`ACK_VALIDITY_MS` does not count.
+    Another box counts if its last known offset is past the record and it answered this
+    box within :data:`ACK_VALIDITY_MS`. The offset may come from a summary that a peer
+    forwarded. This box counts by its own table.
     """
     members = state.members
     others = sum(
--- a/src/spanshunt/systems/gossip.py
+++ b/src/spanshunt/systems/gossip.py
@@ -141,7 +141,12 @@
 
 
 def merge_member(state: State, member: MemberDigest, now: Millis) -> None:
-    """Merge a summary of a member into its row, if its heartbeat rose."""
+    """Merge a summary of a member into its row.
+
+    An unknown member is added, and a later incarnation replaces the row whatever its
+    heartbeat. For the known incarnation, the summary is ignored unless the heartbeat
+    rose.
+    """
     if member.box == state.identity.box:
         return
     row = state.members.rows.get(member.box)
--- a/src/spanshunt/systems/journaling.py
+++ b/src/spanshunt/systems/journaling.py
@@ -145,7 +145,10 @@
 
 
 def drop_empty_copies(journal: Journal, gone: IsOwnerGone) -> None:
-    """Drop the rows of owners that are gone and whose entries are all on the log."""
+    """Drop the rows of owners that are gone, if they hold no more entries.
+
+    It is not checked whether all entries of such an owner are on the log.
+    """
     for incarnation, copies in list(journal.copies.items()):
         if not copies.entries and gone(incarnation, copies.heard):
             del journal.copies[incarnation]
--- a/src/spanshunt/systems/judging.py
+++ b/src/spanshunt/systems/judging.py
@@ -96,13 +96,14 @@
 
 
 RECORD_STAGGER_MS = 700
-"""How much longer each next box waits before it records a verdict itself, in ms. It is
-longer than a call to a slow store takes."""
+"""How much longer each next box waits before it records a verdict or a suspicion
+itself, in ms. It is longer than a call to a slow store takes."""
 
 
 def record_delay(fleet: Fleet, now: Millis) -> Millis:
-    """Return how long this box leaves the recording of a verdict to other boxes, in ms.
+    """Return how long this box leaves recording to other boxes, in ms.
 
+    The delay is the same for a verdict and for a suspicion.
     Live boxes take turns in the order of their names, so usually one box writes. If two
     do, the store's conditional append decides.
     """
--- a/src/spanshunt/systems/limiting.py
+++ b/src/spanshunt/systems/limiting.py
@@ -29,8 +29,9 @@
 none."""
 
 IDLE_DEMAND = 0.001
-"""Demand in requests a second below which an organisation is forgotten, if it spent
-nothing today."""
+"""Demand in requests a second below which an organisation is forgotten, if it has no
+running requests and no recorded spending. Recorded spending is reset by the first
+request, or end of a request, on a new day."""
 
 DEMAND_TAU_MS = 2_000.0
 """Time constant of the moving mean of demand, in ms."""
--- a/src/spanshunt/systems/pacing.py
+++ b/src/spanshunt/systems/pacing.py
@@ -4,9 +4,10 @@
 two consecutive events. Events are timed and counted, whatever number of tokens they
 contain.
 
-The usual time is learned as a low quantile, from workers whose version is not being
-rolled out. Slow workers among them, or a few slow answers of each, hardly change it,
-and a new version does not make its own slowness the usual one.
+The usual time is learned as a low quantile. Workers of a version with a roll-out are
+left out unless the roll-out succeeded, so that a new version does not make its own
+slowness the usual one. Slow workers among the others, or a few slow answers of each,
+hardly change the usual time.
 """
 
 from ..ids import ModelId
@@ -21,8 +22,10 @@
 load, and stays correct while most workers are several times slower."""
 
 MAX_STEP, MIN_STEP = 0.5, 0.05
-"""Relative steps by which a learned time changes: the first one and later ones. A load
-that doubles the times is followed within some sixty answers."""
+"""Relative steps by which a learned time changes: `MAX_STEP` divided by the number of
+answers, but at least `MIN_STEP`. A longer gap raises the learned time by the step times
+`GAP_QUANTILE`, a shorter one lowers it by the step times the rest. By steps of
+`MIN_STEP`, the learned time takes about 140 answers to double and 15 to halve."""
 
 PEER_SPEED_WEIGHT = 0.2
 """Weight of a peer's time relative to this box's own in each round of gossip."""
--- a/src/spanshunt/systems/quarantining.py
+++ b/src/spanshunt/systems/quarantining.py
@@ -50,8 +50,8 @@
 again do so within this time."""
 
 MAX_SUSPECTS = 2_048
-"""Maximum number of suspects kept; the one unchanged for longest is evicted first. They
-take under 2 MB."""
+"""Maximum number of suspects kept. Contents that are not quarantined are evicted first,
+and among equals the one unchanged for longest. They take under 2 MB."""
 
 CHANGE_SENT_MS = 3_000
 """How long after a change a suspect is sent to peers in each round of gossip, in ms:
@@ -124,8 +124,9 @@
     """Release a content by an operator's order, given at `at`.
 
     Worker ends before the release no longer count, even if this box learns of them
-    later; those after it count at once. A complete answer also clears the content for
-    `CLEARED_MS` after it, so the release is stored as an answer that long before.
+    later. Those after it count at once, unless a complete answer in the `CLEARED_MS`
+    before them still clears the content. As an answer clears the content for that long,
+    the release is stored as an answer `CLEARED_MS` before it.
     """
     row = fleet.suspect_requests.setdefault(
         fingerprint, SuspectRequest(fingerprint, ServiceId(""), shared=True)
--- a/src/spanshunt/systems/references.py
+++ b/src/spanshunt/systems/references.py
@@ -81,7 +81,8 @@
         """Return the share of faults in an epoch that the leaving version excuses.
 
         It is the share in the window around the epoch, averaged with `usual`, times
-        `common_part`.
+        `common_part`. The window is extended to older epochs if it has fewer than
+        `MIN_WINDOW_ANSWERS` answers.
         """
         answers, faulty = 0, 0
         for near in range(epoch + WINDOW_EPOCHS, -1, -1):
--- a/src/spanshunt/systems/succeeding.py
+++ b/src/spanshunt/systems/succeeding.py
@@ -42,8 +42,8 @@
 of the order's time: slow answers are the last to end."""
 
 IDLE_MS = 1_000
-"""A service counts as idle if no request came from this long before the full phase on,
-in ms."""
+"""A service counts as idle if boxes observed no answer and no failure from this long
+before the full phase on, in ms."""
 
 SMALL_FLEET_PEERS, MIN_LIVE_PEERS = 12, 6
 """Greatest number of peers of a small fleet, in which a box must hear at least half of
--- a/src/spanshunt/systems/tallies.py
+++ b/src/spanshunt/systems/tallies.py
@@ -22,7 +22,8 @@
 fails."""
 
 MIN_FAULTS = 3
-"""Number of faulty answers below which there is no evidence against a version."""
+"""Number of faulty answers below which there is no evidence against a version, unless a
+recorded suspicion gives the statistic to start from."""
 
 SAMPLED_WORKERS = 8
 """Approximate number of workers of each version that are counted separately. Each adds
@@ -38,7 +39,8 @@
 trials with one fault, so if all answers break off, the share of faults is a half."""
 
 IN_TIME, SLOW = Tally(timed=1), Tally(timed=1, slow=1)
-"""Answers whose time to the first byte is known, in time or slow."""
+"""Observations that an answer was in time, or was slow at its first byte or its events.
+"""
 
 SILENT = Tally(answers=1, timed=1, slow=1)
 """A worker that gave no answer in time."""
--- a/src/spanshunt/systems/throttling.py
+++ b/src/spanshunt/systems/throttling.py
@@ -35,8 +35,9 @@
 it, i.e. the grants of 5.5 s."""
 
 MIN_RATE_PER_S = 0.25
-"""Requests a second that boxes send at least, even if the worker takes fewer or none.
-Otherwise no box would learn that it takes more again."""
+"""Lowest rate, in requests a second, from which boxes compute their grants, even if the
+worker announces a lower one or 0; `GRANTED_SHARE` of it is granted. Otherwise no box
+would learn that the worker takes more again."""
 
 GRANT_RESERVED_MS = 500
 """How long a grant is reserved for eager requests, in ms. A request is eager if it may
--- a/src/spanshunt/systems/timing.py
+++ b/src/spanshunt/systems/timing.py
@@ -1,4 +1,8 @@
-"""Timeouts for the first byte and for stalls, based on the usual times of answers."""
+"""Timeouts for the first byte and for stalls, and usual times to the first byte.
+
+The first-byte timeout follows the usual times and the route's target latency. The stall
+timeout follows only the route's targets.
+"""
 
 from ..ids import Millis
 from ..ids import ModelId
--- a/src/spanshunt/systems/worker_choice.py
+++ b/src/spanshunt/systems/worker_choice.py
@@ -47,8 +47,9 @@
 ) -> list[WorkerRow]:
     """Return the live workers that can answer, except those tried already.
 
-    Of many workers only a random sample is examined, so that the time taken does not
-    grow with their number. If no live worker is left, ejected workers are returned.
+    Of many workers a random sample is examined first, so that the time taken mostly
+    does not grow with their number. If the sample has no live worker, all are examined;
+    if there is still none, ejected workers are returned.
     """
     able = workers.find_capable(service, version)
     if len(able) > MAX_FULL_SCAN:
--- a/src/spanshunt/tables/claims.py
+++ b/src/spanshunt/tables/claims.py
@@ -16,8 +16,10 @@
 class CallState(enum.Enum):
     """Progress of a keyed call that this box has claimed.
 
-    A box gives a call up if it did not send it, or could not read its claim back from
-    the log in time. It then never sends the call and releases the claim.
+    A box gives a call up if the request ended and no worker was reached that may have
+    run it, or if the claim could not be read back from the log in time. A send of which
+    certainly no byte left is set back to `CLAIMED`. A call that is given up is never
+    sent again, and its claim is released.
     """
 
     CLAIMED = "claimed"
--- a/src/spanshunt/tables/fleet.py
+++ b/src/spanshunt/tables/fleet.py
@@ -62,9 +62,11 @@
         Settings in force at the peer, as the peer reports them.
     followers : tuple of str
         The boxes of the failure domain that read the operators' records from the store
-        themselves; the others learn of new records from their peers. Only the box whose
-        name sorts first of those recently heard in its failure domain reports them, so
-        that all boxes there agree; empty from any other peer.
+        themselves; the others learn of new records from their peers. A box reports them
+        if it finds itself first by name among the recently heard boxes of its failure
+        domain, and reports none otherwise. Boxes that the store does not serve are left
+        out, unless it does not serve that box either. Each box judges by its own view,
+        so boxes mostly agree, but need not.
     """
 
     box: BoxId
--- a/src/spanshunt/tables/rollouts.py
+++ b/src/spanshunt/tables/rollouts.py
@@ -61,7 +61,8 @@
     failed : int
         Answers that failed.
     timed : int
-        Answers whose time to the first byte is known.
+        Answers of which it is known whether they were slow: those found slow or silent,
+        and complete ones in which slowness would have shown.
     slow : int
         Answers that were slow.
     """
@@ -189,8 +190,8 @@
     recorded_suspicion : RecordedSuspicion or None
         The suspicion recorded in the platform's store; None for none.
     suspected_at : int
-        Since when this box has a stronger suspicion than the recorded one, in ms; -1
-        for none.
+        Since when this box has a strong suspicion whose log evidence exceeds the
+        recorded one by at least ``judging.MIN_RECORD_INCREASE``, in ms; -1 for none.
     judged_at : int
         When this box reached the verdict or learned of it, in ms.
     succeeded_since : int
--- a/src/spanshunt/tables/suspects.py
+++ b/src/spanshunt/tables/suspects.py
@@ -1,7 +1,8 @@
 """Request contents that workers were processing when they ended.
 
-A worker has ended if it refuses connections after one broke, or if another run or
-another worker is found at its address or under its id.
+A worker counts as ended if a connection to it is refused, in an attempt or in the probe
+after a connection broke, or if another run or another worker is found at its address or
+under its id.
 """
 
 import msgspec
--- a/src/spanshunt/worker_notices.py
+++ b/src/spanshunt/worker_notices.py
@@ -161,7 +161,7 @@
 def merge_limit_news(
     fleet: Fleet, news: News, told_at: Millis | None, now: Millis
 ) -> None:
-    """Merge rate limits that workers announced to other boxes.
+    """Merge rate limits that workers announced to the peer or to a box it heard from.
 
     If it is unknown when the peer sent the news, they may be old, and a withdrawn limit
     in them is ignored.
@@ -182,7 +182,7 @@
 def merge_leaving_news(
     fleet: Fleet, news: News, told_at: Millis | None, now: Millis
 ) -> None:
-    """Merge leaving notices that workers sent to other boxes."""
+    """Merge leaving notices that workers sent to the peer or to a box it heard from."""
     for item in news.leaving_notices:
         row = fleet.workers.rows.get(item.worker)
         if row is None or row.born != item.born:
